--- a/tests/faults_test.cc
+++ b/tests/faults_test.cc
@@ -164,7 +164,7 @@
     HttpResult result;
     result.m_end = row.m_end;
     result.m_response.m_status = row.m_status;
-    const auto end = platform::JudgeStoreAnswer(result);
+    const auto end = platform::ClassifyStoreResponse(result);
     cr_assert(ToPlatformEnd(end, row.m_is_write) == row.m_expected,
               "end %d status %d", static_cast<int>(row.m_end), row.m_status);
   }
--- a/tests/feed_relay_test.cc
+++ b/tests/feed_relay_test.cc
@@ -1,5 +1,5 @@
-/// @file feed_relay_test.cc Queries of followers, and what goes over the
-/// wire.
+/// @file feed_relay_test.cc Followers' queries to a relay, and their encoding
+/// on the wire.
 
 #include "platform/feed_relay.h"
 
@@ -15,24 +15,24 @@
 namespace sorrelplank::platform {
 namespace {
 
-/// A relay that has just read everything, at revision 10.
+/// A relay that has just read all keys, at revision 10.
 struct RelayFixture {
   StoreMirror m_mirror;
   FeedRelay m_relay{m_mirror};
   TimePoint m_now{seconds(5)};
   std::vector<FeedReply> m_answers;
 
-  RelayFixture() { m_relay.Begin(Revision(10), m_now, m_now); }
+  RelayFixture() { m_relay.Activate(Revision(10), m_now, m_now); }
 
-  void Ask(uint64_t behind, Duration wait) {
+  void Ask(uint64_t after, Duration wait) {
     m_relay.Ask(
-        {Revision(behind), wait},
+        {Revision(after), wait},
         [this](const FeedReply& reply) { m_answers.push_back(reply); }, m_now);
   }
 
   void AddEvent(uint64_t revision) {
-    StoreRead read;
-    read.m_end = StoreEnd::kDone;
+    StoreReadResult read;
+    read.m_end = StoreOutcome::kDone;
     read.m_revision = Revision(revision);
     read.m_items.push_back({"op/config", "v" + std::to_string(revision),
                             Revision(revision), false});
@@ -70,27 +70,27 @@
   cr_expect_eq(g_fixture->m_answers[0].m_age, Duration(seconds(1)));
 }
 
-// A follower that read later than its relay is ahead of it. It must not be told
-// old events as new ones, nor that it misses any.
+// A follower that has read later than its relay is ahead of it. It must neither
+// get old events as new ones nor be told that it missed any.
 Test(FeedRelay, FollowerAhead_Asks_GetsNothingOld) {
   g_fixture->Ask(20, Duration::zero());
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
   cr_expect_eq(static_cast<int>(g_fixture->m_answers[0].m_end),
-               static_cast<int>(FeedEnd::kDone));
+               static_cast<int>(FeedOutcome::kDone));
   cr_expect(g_fixture->m_answers[0].m_batch->Events().empty());
 }
 
-// A follower that lies behind what the relay remembers must read the store: the
-// events that are left would leave out a removal in between.
+// A follower that is further behind than the relay's log must read the store: a
+// removal may be missing from the remaining events.
 Test(FeedRelay, FollowerFarBehind_Asks_IsSentToTheStore) {
   g_fixture->Ask(9, seconds(1));
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
   cr_expect_eq(static_cast<int>(g_fixture->m_answers[0].m_end),
-               static_cast<int>(FeedEnd::kHistoryGone));
+               static_cast<int>(FeedOutcome::kHistoryGone));
 }
 
-// More is told than a relay keeps. Whoever asks for what is forgotten is sent
-// to the store, and the latest events are still there.
+// More events arrive than a relay retains. Queries for discarded events are
+// sent to the store, and the latest events are still available.
 Test(FeedRelay, Events_MoreThanIsKept_OldOnesAreForgotten) {
   FeedLog log;
   log.Restart(Revision(0));
@@ -98,48 +98,48 @@
     log.Add({{"key", std::string(64U << 10U, 'x'), Revision(revision), false}},
             Revision(revision));
   }
-  cr_expect_null(log.Behind(Revision(1)));
-  const EventBatchPtr latest = log.Behind(Revision(98));
+  cr_expect_null(log.EventsAfter(Revision(1)));
+  const EventBatchPtr latest = log.EventsAfter(Revision(98));
   cr_assert_not_null(latest);
   cr_expect_eq(latest->Events().size(), 2U);
 }
 
-// The store falls silent while a follower waits. Kept waiting, it would take
-// its relay for one that has nothing to tell.
-Test(FeedRelay, StoreLost_QueryWaits_IsToldAtOnce) {
+// The store becomes unreachable while a query is held. If the query stayed
+// held, the follower would take the relay for one without changes.
+Test(FeedRelay, StoreLost_QueryHeld_IsAnsweredAtOnce) {
   g_fixture->Ask(10, seconds(1));
   g_fixture->m_relay.SetLost(g_fixture->m_now);
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
-  cr_expect(g_fixture->m_answers[0].m_is_lost);
+  cr_expect(g_fixture->m_answers[0].m_is_store_lost);
   g_fixture->m_now += seconds(2);
   g_fixture->AddEvent(11);
   g_fixture->m_now += milliseconds(300);
   g_fixture->Ask(10, Duration::zero());
-  cr_expect_not(g_fixture->m_answers[1].m_is_lost);
-  cr_expect_eq(*g_fixture->m_answers[1].m_answers_for,
+  cr_expect_not(g_fixture->m_answers[1].m_is_store_lost);
+  cr_expect_eq(*g_fixture->m_answers[1].m_time_since_outage,
                Duration(milliseconds(300)));
 }
 
-Test(FeedRelay, RelayFollowsAnother_Asked_SaysSo) {
+Test(FeedRelay, RelayFollowsAnother_Query_IsRefused) {
   g_fixture->Ask(10, seconds(1));
-  g_fixture->m_relay.End(g_fixture->m_now);
+  g_fixture->m_relay.Deactivate(g_fixture->m_now);
   g_fixture->Ask(10, seconds(1));
   cr_assert_eq(g_fixture->m_answers.size(), 2U);
   for (const FeedReply& reply : g_fixture->m_answers) {
     cr_expect_eq(static_cast<int>(reply.m_end),
-                 static_cast<int>(FeedEnd::kNoRelay));
+                 static_cast<int>(FeedOutcome::kNoRelay));
   }
 }
 
-// Anybody may write any bytes under any key, and others must get them as they
-// are.
-Test(FeedRelay, Reply_OddBytes_ArriveAsSent) {
+// Anybody may write arbitrary bytes under any key; they must be passed on
+// unchanged.
+Test(FeedRelay, Reply_ArbitraryBytes_ArriveAsSent) {
   FeedReply reply;
-  reply.m_end = FeedEnd::kDone;
+  reply.m_end = FeedOutcome::kDone;
   reply.m_revision = Revision(12);
   reply.m_age = milliseconds(250);
-  reply.m_is_lost = true;
-  reply.m_answers_for = Duration::zero();
+  reply.m_is_store_lost = true;
+  reply.m_time_since_outage = Duration::zero();
   const StoreItem sent{"k\xff", std::string("\0\x80\xff", 3), Revision(12),
                        true};
   reply.m_batch =
@@ -154,15 +154,15 @@
   cr_expect_eq(events[0].m_value, sent.m_value);
   cr_expect(events[0].m_removed);
   cr_expect_eq(read.m_age, reply.m_age);
-  cr_expect(read.m_is_lost);
-  cr_expect(read.m_answers_for.has_value());
+  cr_expect(read.m_is_store_lost);
+  cr_expect(read.m_time_since_outage.has_value());
 }
 
-// What is no answer of a relay, cut short or made of drawn bytes, counts as no
-// answer; nothing ends, and nothing is taken from it that was not sent.
-Test(FeedRelay, Reply_CutOrDrawnBytes_NeverEndTheProcess) {
+// A truncated or randomly corrupted reply counts as no reply. It must not end
+// the process, and a truncated one must not be used.
+Test(FeedRelay, Reply_TruncatedOrCorrupted_NeverEndsTheProcess) {
   FeedReply reply;
-  reply.m_end = FeedEnd::kDone;
+  reply.m_end = FeedOutcome::kDone;
   reply.m_revision = Revision(12);
   reply.m_batch = std::make_shared<const EventBatch>(
       std::vector<StoreItem>{{"op/config", "value", Revision(12), false}});
@@ -183,19 +183,19 @@
   result.m_end = FetchEnd::kTruncated;
   result.m_response.m_body = whole;
   cr_expect_eq(static_cast<int>(DecodeFeedReply(result).m_end),
-               static_cast<int>(FeedEnd::kUnanswered));
+               static_cast<int>(FeedOutcome::kUnanswered));
 }
 
-// Guards against a relay whose work and bytes grow with its followers times the
-// size of what it tells them.
+// Guards against a relay whose work and memory grow with the number of
+// followers times the size of the events.
 Test(FeedRelay, ManyFollowers_SameEvents_AreCopiedAndPackedOnce) {
   for (const size_t followers : {10U, 20U, 40U}) {
     RelayFixture relay;
     for (size_t follower = 0; follower < followers; ++follower) {
       relay.Ask(10, seconds(1));
     }
-    StoreRead read;
-    read.m_end = StoreEnd::kDone;
+    StoreReadResult read;
+    read.m_end = StoreOutcome::kDone;
     for (uint64_t number = 11; number <= 110; ++number) {
       read.m_items.push_back({"servers/i-" + std::to_string(number),
                               R"({"Service":"s","Zone":"d1","Slots":5})",
@@ -213,13 +213,13 @@
   }
 }
 
-Test(FeedRelay, Query_OverTheWire_IsReadOrRefused) {
+Test(FeedRelay, Query_EncodedAndDecoded_IsTheSameOrRejected) {
   HttpRequest request;
   request.m_path = "/v2/feed";
   request.m_query =
       ParseQuery(EncodeFeedQuery({Revision(77), milliseconds(625)}).substr(9));
   const FeedQuery query = DecodeFeedQuery(request);
-  cr_expect_eq(query.m_behind.Get(), 77U);
+  cr_expect_eq(query.m_after.Get(), 77U);
   cr_expect_eq(query.m_wait, Duration(milliseconds(625)));
   for (const char* query :
        {"", "behind=1", "behind=x&wait_ms=1", "behind=-1&wait_ms=1",
--- a/tests/held_command_test.cc
+++ b/tests/held_command_test.cc
@@ -1,4 +1,5 @@
-/// @file held_command_test.cc The operator's list of requests that end servers.
+/// @file held_command_test.cc The operator's command for requests that crash
+/// backend servers.
 
 #include <criterion/criterion.h>
 
@@ -17,7 +18,7 @@
 constexpr RequestDigest kHeld{.m_high = 1, .m_low = 1};
 constexpr RequestDigest kSuspected{.m_high = 1, .m_low = 2};
 
-/// A store that holds facts of two requests, served by a thread of its own.
+/// A store with crash records of two requests, served by its own thread.
 struct HeldFixture : ServedStore {
   std::thread m_thread;
 
@@ -35,12 +36,12 @@
 
   void Put(const CrashFact& fact) {
     m_store.PutText(CrashKey(fact),
-                    EncodeCrash({{fact, "reads", "h.example", "/read/7"},
-                                 "vm-1",
-                                 milliseconds(1)}));
+                    EncodeStoredCrash({{fact, "reads", "h.example", "/read/7"},
+                                       "vm-1",
+                                       milliseconds(1)}));
   }
 
-  /// What the command prints.
+  /// Runs the command and returns its output.
   std::string Run(const std::string& options) const {
     const std::string command =
         std::string(BINARY_DIR) +
@@ -58,28 +59,30 @@
   }
 };
 
-bool Holds(const std::string& text, const std::string& part) {
+bool Contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
-Test(HeldCommand, TwoRequests_List_TellsWhichIsHeldBack) {
+Test(HeldCommand, TwoRequests_List_ShowsWhichIsHeldBack) {
   const HeldFixture fixture;
   const std::string text = fixture.Run("");
-  cr_assert(Holds(text, FormatDigest(kHeld) +
-                            "  held back  3 servers ended  reads  "
-                            "h.example/read/7\n"));
-  cr_assert(Holds(text, FormatDigest(kSuspected) + "  suspected  1 servers"));
+  cr_assert(Contains(text, FormatDigest(kHeld) +
+                               "  held back  3 servers ended  reads  "
+                               "h.example/read/7\n"));
+  cr_assert(
+      Contains(text, FormatDigest(kSuspected) + "  suspected  1 servers"));
 }
 
-// The cause is mended: the request is released, and only that one.
+// The cause is fixed: only the given request is released.
 Test(HeldCommand, HeldRequest_Released_IsGoneFromTheStore) {
   const HeldFixture fixture;
-  cr_assert(Holds(fixture.Run("--release " + FormatDigest(kHeld)), "released"));
+  cr_assert(
+      Contains(fixture.Run("--release " + FormatDigest(kHeld)), "released"));
   const std::string text = fixture.Run("--json");
-  cr_assert_not(Holds(text, FormatDigest(kHeld)));
-  cr_assert(Holds(text, FormatDigest(kSuspected)));
-  cr_assert(Holds(fixture.Run("--release " + FormatDigest(kHeld)),
-                  "nothing is known of"));
+  cr_assert_not(Contains(text, FormatDigest(kHeld)));
+  cr_assert(Contains(text, FormatDigest(kSuspected)));
+  cr_assert(Contains(fixture.Run("--release " + FormatDigest(kHeld)),
+                     "nothing is known of"));
 }
 
 }  // namespace
--- a/tests/platform_decode_test.cc
+++ b/tests/platform_decode_test.cc
@@ -1,4 +1,4 @@
-/// @file platform_decode_test.cc The platform's values as our types.
+/// @file platform_decode_test.cc Decoding of the platform's values.
 
 #include <criterion/criterion.h>
 
@@ -45,7 +45,7 @@
   cr_assert_eq(table.m_limits.m_body_bytes, 1000);
 }
 
-/// A text that is no configuration.
+/// Text that is not a valid configuration.
 struct BadConfig {
   const char* m_what;
   const char* m_text;
@@ -57,9 +57,9 @@
     {"no version", R"({"Routes":{"Columns":[],"Rows":[]}})"},
     {"version without tag",
      R"({"Version":"7","Routes":{"Columns":[],"Rows":[]}})"},
-    {"version with a rest",
+    {"version with trailing text",
      R"({"Version":"r7x","Routes":{"Columns":[],"Rows":[]}})"},
-    {"rows of another type", R"({"Version":"r7","Routes":{"Columns":["Name"],
+    {"rows of the wrong type", R"({"Version":"r7","Routes":{"Columns":["Name"],
       "Rows":[[5]]},"Services":{"Columns":[],"Rows":[]}})"},
     {"a list", "[]"}};
 
@@ -87,7 +87,7 @@
   cr_assert_eq(server.m_address.m_port, 8080);
 }
 
-Test(PlatformDecode, Server_WithStart_TellsWhichRunItIs) {
+Test(PlatformDecode, Server_WithStartTime_IdentifiesItsRun) {
   const ServerEntry server =
       DecodeServer("i-1", R"({"Service":"s","Address":"10.0.0.9:80","Zone":"d1",
                  "Version":"v1","Slots":6,"State":"draining","ColdLeftS":0,
@@ -96,19 +96,19 @@
   cr_assert_eq(server.m_started->count(), 1792250284924);
 }
 
-// Something else writes where backend servers register. Taken as a server with
-// zero values for what is wrong, its requests would go to nowhere or to a
-// server that is leaving.
-Test(PlatformDecode, Server_FieldMissingOrOfAnotherType_IsAnError) {
-  const nlohmann::json sound = {
+// Something other than a backend server writes under the keys where servers
+// register. If wrong fields were decoded as zero values, requests would be sent
+// to an invalid address or to a draining server.
+Test(PlatformDecode, Server_FieldMissingOrOfWrongType_IsAnError) {
+  const nlohmann::json valid = {
       {"Service", "s"},       {"Address", "10.0.0.9:80"},
       {"Zone", "d1"},         {"Version", "v1"},
       {"Slots", 6},           {"State", "ready"},
       {"ColdLeftS", 0.5},     {"Sequence", 4},
       {"born", 1792250284924}};
-  cr_assert_eq(DecodeServer("i-1", sound.dump()).m_slots, 6);
-  for (const auto& [name, value] : sound.items()) {
-    nlohmann::json entry = sound;
+  cr_assert_eq(DecodeServer("i-1", valid.dump()).m_slots, 6);
+  for (const auto& [name, value] : valid.items()) {
+    nlohmann::json entry = valid;
     if (name != "born") {
       entry.erase(name);
       cr_assert_throw(DecodeServer("i-1", entry.dump()), DecodeError,
@@ -124,7 +124,7 @@
   }
 }
 
-Test(PlatformDecode, Server_ValuesThatNameNoServer_AreErrors) {
+Test(PlatformDecode, Server_InvalidValues_AreErrors) {
   const auto decode = [](const std::string& slots, const std::string& state,
                          const std::string& rest) {
     DecodeServer("i-1", R"({"Service":"s","Address":"10.0.0.9:80","Zone":"d1",
@@ -144,17 +144,17 @@
   }
 }
 
-// One value of a page is not base64. The page was dropped whole, read again,
-// and dropped again: this VM learned nothing more from the store.
-Test(PlatformDecode, StoreRead_OneValueUnreadable_OthersHold) {
+// One value of a page is not base64. The whole page was dropped and read again
+// in a loop, so this VM got no further changes from the store.
+Test(PlatformDecode, StoreRead_OneInvalidValue_OthersAreDecoded) {
   HttpResult result;
   result.m_end = FetchEnd::kAnswered;
   result.m_response.m_body = R"({"items":[
       {"Key":"servers/a","Value":"%%%","Rev":3},
       {"Key":"servers/b","Value":"eHl6","Rev":4}],
       "HasMore":false,"StoreRevision":9})";
-  const StoreRead read = DecodeRead(result, "items");
-  cr_assert_eq(read.m_end, StoreEnd::kDone);
+  const StoreReadResult read = DecodeRead(result, "items");
+  cr_assert_eq(read.m_end, StoreOutcome::kDone);
   cr_assert_eq(read.m_items.size(), 2);
   cr_assert_throw(DecodeServer("a", read.m_items[0].m_value), DecodeError);
   cr_assert_str_eq(read.m_items[1].m_value.c_str(), "xyz");
@@ -167,32 +167,32 @@
   cr_assert_str_eq(same.m_region.c_str(), "r1");
 }
 
-/// A store's answer and what it proves.
+/// A store response and the outcome that it implies.
 struct StoreCase {
   FetchEnd m_fetch;
   int m_status;
-  StoreEnd m_end;
+  StoreOutcome m_end;
 };
 
 constexpr StoreCase kStoreCases[] = {
-    {FetchEnd::kAnswered, 200, StoreEnd::kDone},
-    {FetchEnd::kAnswered, 404, StoreEnd::kMissing},
-    {FetchEnd::kAnswered, 410, StoreEnd::kHistoryGone},
-    {FetchEnd::kAnswered, 412, StoreEnd::kConflict},
-    {FetchEnd::kAnswered, 429, StoreEnd::kRefused},
-    {FetchEnd::kAnswered, 503, StoreEnd::kRefused},
-    {FetchEnd::kAnswered, 500, StoreEnd::kUnknown},
-    {FetchEnd::kConnectFailed, 0, StoreEnd::kRefused},
-    {FetchEnd::kNoAnswer, 0, StoreEnd::kUnknown},
-    {FetchEnd::kTimedOut, 0, StoreEnd::kUnknown},
-    {FetchEnd::kTruncated, 200, StoreEnd::kUnknown}};
+    {FetchEnd::kAnswered, 200, StoreOutcome::kDone},
+    {FetchEnd::kAnswered, 404, StoreOutcome::kMissing},
+    {FetchEnd::kAnswered, 410, StoreOutcome::kHistoryGone},
+    {FetchEnd::kAnswered, 412, StoreOutcome::kConflict},
+    {FetchEnd::kAnswered, 429, StoreOutcome::kRefused},
+    {FetchEnd::kAnswered, 503, StoreOutcome::kRefused},
+    {FetchEnd::kAnswered, 500, StoreOutcome::kUnknown},
+    {FetchEnd::kConnectFailed, 0, StoreOutcome::kRefused},
+    {FetchEnd::kNoAnswer, 0, StoreOutcome::kUnknown},
+    {FetchEnd::kTimedOut, 0, StoreOutcome::kUnknown},
+    {FetchEnd::kTruncated, 200, StoreOutcome::kUnknown}};
 
-Test(PlatformDecode, StoreAnswer_EachEnd_ProvesWhatItProves) {
+Test(PlatformDecode, StoreResponse_EachStatus_HasItsOutcome) {
   for (const StoreCase& one : kStoreCases) {
     HttpResult result;
     result.m_end = one.m_fetch;
     result.m_response.m_status = one.m_status;
-    cr_assert_eq(JudgeStoreAnswer(result), one.m_end, "status %d",
+    cr_assert_eq(ClassifyStoreResponse(result), one.m_end, "status %d",
                  one.m_status);
   }
 }
@@ -204,22 +204,22 @@
       R"({"events":[{"Key":"a","Value":"bm9kZS0x","Rev":412,"Created":412,
           "Lease":77120},{"Key":"b","Rev":413,"Deleted":true}],
           "StoreRevision":413})";
-  const StoreRead read = DecodeRead(result, "events");
+  const StoreReadResult read = DecodeRead(result, "events");
   cr_assert_eq(read.m_items.size(), 2);
   cr_assert_str_eq(read.m_items[0].m_value.c_str(), "node-1");
   cr_assert(read.m_items[1].m_removed);
   cr_assert_eq(read.m_revision.Get(), 413);
 }
 
-Test(PlatformDecode, StoreRead_DamagedBody_CountsAsNoAnswer) {
+Test(PlatformDecode, StoreRead_DamagedBody_CountsAsNoResponse) {
   HttpResult result;
   result.m_end = FetchEnd::kAnswered;
   result.m_response.m_body = R"({"events":[{"Key":"a"}],"StoreRevision":4})";
-  cr_assert_eq(DecodeRead(result, "events").m_end, StoreEnd::kUnknown);
+  cr_assert_eq(DecodeRead(result, "events").m_end, StoreOutcome::kUnknown);
 }
 
-// Organisations with keys. Read wrongly, a caller would pass for another one,
-// or ask beyond its limit.
+// Decoded wrongly, an organisation could be taken for another one or exceed its
+// rate limit.
 Test(PlatformDecode, Config_Organisations_AreRead) {
   json config = json::parse(kConfig);
   config["Tenants"] = json::parse(R"({"Columns":["Name","ApiKeys","Priority",
@@ -242,11 +242,12 @@
   cr_assert(second.m_home_regions.empty());
 }
 
-Test(PlatformDecode, Config_WithoutOrganisations_AsksForNoKeys) {
+Test(PlatformDecode, Config_WithoutOrganisations_RequiresNoKeys) {
   cr_assert_not(DecodeConfig(kConfig).m_organisations.has_value());
 }
 
-// Two organisations with one key: whose request is it?
+// With one key for two organisations, the sender of a request would be
+// ambiguous.
 Test(PlatformDecode, Config_FaultyOrganisations_AreRefusedWithTheField) {
   const std::pair<const char*, const char*> faults[] = {
       {R"(["a",["k"],1],["b",["k"],1])", "ApiKeys"},
@@ -278,18 +279,18 @@
                                     .m_keys = {},
                                     .m_priority = std::nullopt,
                                     .m_home_regions = {"south"}});
-  RequireKnownHomes(table, {{"d1", "south"}});
+  RequireKnownHomeRegions(table, {{"d1", "south"}});
   bool is_refused = false;
   try {
-    RequireKnownHomes(table, {{"d1", "north"}});
+    RequireKnownHomeRegions(table, {{"d1", "north"}});
   } catch (const DecodeError&) {
     is_refused = true;
   }
   cr_assert(is_refused);
 }
 
-// Downloads may run again, as the pages say of them; taken for requests that
-// run once, one lost answer ended each.
+// Downloads are specified to be repeatable. When they were taken for
+// non-idempotent requests, each lost response made one fail.
 Test(PlatformDecode, Config_DownloadRoute_MayRunAgain) {
   json config = json::parse(kConfig);
   config["Routes"]["Rows"][0][3] = "download";
--- a/tests/relay_choice_test.cc
+++ b/tests/relay_choice_test.cc
@@ -1,4 +1,5 @@
-/// @file relay_choice_test.cc Which entry VMs watch the store for others.
+/// @file relay_choice_test.cc Choosing the entry VMs that watch the store on
+/// behalf of others.
 
 #include <criterion/criterion.h>
 
@@ -40,8 +41,8 @@
 
 TestSuite(RelayChoice);
 
-// Each VM that watches the store is woken by each change. Their number follows
-// the failure domains, not the VMs.
+// Each change wakes every VM that watches the store. Their number must grow
+// with the failure domains rather than with the VMs.
 Test(RelayChoice, Watchers_FleetGrows_GrowFarSlower) {
   cr_expect_eq(ChoiceFixture::CountWatchers(ChoiceFixture::Fleet(9)), 9U);
   cr_expect_eq(ChoiceFixture::CountWatchers(ChoiceFixture::Fleet(18)), 18U);
@@ -66,8 +67,9 @@
   }
 }
 
-// Guards against relays with the smallest link or processor of their domain.
-Test(RelayChoice, DomainHasLargerVms_TheyAreTheRelays) {
+// Guards against choosing relays with the slowest link or the least CPU of
+// their failure domain.
+Test(RelayChoice, DomainHasLargerVms_TheyBecomeTheRelays) {
   auto fleet = ChoiceFixture::Fleet(990);
   size_t number = 0;
   for (FleetMember& vm : fleet) {
@@ -84,9 +86,10 @@
   cr_expect_eq(relays, 18U);
 }
 
-// A relay leaves the fleet. Only its own failure domain chooses another one,
-// and the other relays stay: each change of source is a moment without changes.
-Test(RelayChoice, RelayLeaves_OtherRelaysAndDomains_StayAsTheyWere) {
+// A relay leaves the fleet. Only its own failure domain chooses a new one, and
+// the other relays stay, because a follower gets no changes while it switches
+// its source.
+Test(RelayChoice, RelayLeaves_OtherRelaysAndDomains_AreUnchanged) {
   const auto fleet = ChoiceFixture::Fleet(195);
   const auto relay =
       std::find_if(fleet.begin(), fleet.end(), [&](const FleetMember& vm) {
@@ -108,8 +111,8 @@
   cr_expect_eq(changed, 1U);
 }
 
-// A VM that is not in the fleet yet asks the relays of those that are; where
-// none is in its failure domain, it asks the store.
+// A VM that is not in the fleet yet queries the relays of its failure domain;
+// if there are none, it uses the store.
 Test(RelayChoice, NewVm_NotInTheFleetYet_FollowsItsDomain) {
   const auto fleet = ChoiceFixture::Fleet(27);
   FleetMember fresh = fleet.front();
--- a/tests/served_store.h
+++ b/tests/served_store.h
@@ -1,4 +1,4 @@
-/// @file served_store.h A stand-in of the store on a loopback port.
+/// @file served_store.h A stand-in for the store, on a loopback port.
 
 #ifndef SORRELPLANK_TESTS_SERVED_STORE_H_
 #define SORRELPLANK_TESTS_SERVED_STORE_H_
@@ -12,7 +12,7 @@
 
 namespace sorrelplank {
 
-/// Answers while its io_context runs.
+/// Serves requests while its io_context runs.
 struct ServedStore {
   asio::io_context m_io{1};
   uint16_t m_port = FreePort();
--- a/tests/store_knowledge_test.cc
+++ b/tests/store_change_decoder_test.cc
@@ -1,6 +1,7 @@
-/// @file store_knowledge_test.cc What the store says, handed to the decisions.
+/// @file store_change_decoder_test.cc Decoding store changes and applying them
+/// to request steering.
 
-#include "platform/store_knowledge.h"
+#include "platform/store_change_decoder.h"
 
 #include <criterion/criterion.h>
 #include <unistd.h>
@@ -17,19 +18,19 @@
 namespace sorrelplank::platform {
 namespace {
 
-/// Decisions that know nothing yet.
-struct KnowledgeFixture {
+/// A decoder whose steering has received nothing yet.
+struct DecoderFixture {
   asio::io_context m_io{1};
   int m_pipe[2] = {-1, -1};
   std::unique_ptr<DecisionLog> m_log;
   ProxyMetrics m_metrics{"vm-1"};
-  std::unique_ptr<Front> m_front;
-  std::unique_ptr<StoreKnowledge> m_knowledge;
-  int m_own_removed = 0;
+  std::unique_ptr<Front> m_proxy;
+  std::unique_ptr<StoreChangeDecoder> m_change_decoder;
+  int m_own_removals = 0;
   TimePoint m_now{seconds(1)};
   uint64_t m_revision = 0;
 
-  KnowledgeFixture() {
+  DecoderFixture() {
     cr_assert_eq(pipe(m_pipe), 0);
     m_log = std::make_unique<DecisionLog>("vm-1", m_pipe[1]);
     SteeringSettings settings;
@@ -37,24 +38,25 @@
     settings.m_failure_domain = "d1";
     settings.m_region = "r1";
     settings.m_regions = {{"d1", "r1"}};
-    m_front = std::make_unique<Front>(m_io, settings, ProxyNames(), *m_log,
+    m_proxy = std::make_unique<Front>(m_io, settings, ProxyNames(), *m_log,
                                       m_metrics);
-    m_knowledge = std::make_unique<StoreKnowledge>(
-        *m_front, *m_log, "fleet/vm-1", [this] { ++m_own_removed; });
+    m_change_decoder = std::make_unique<StoreChangeDecoder>(
+        *m_proxy, *m_log, "fleet/vm-1", [this] { ++m_own_removals; });
   }
 
-  ~KnowledgeFixture() {
-    m_front.reset();
+  ~DecoderFixture() {
+    m_proxy.reset();
     close(m_pipe[0]);
     close(m_pipe[1]);
   }
 
   void Put(const std::string& key, const std::string& value) {
-    m_knowledge->Take({{key, value, Revision(++m_revision), false}}, m_now);
+    m_change_decoder->Apply({{key, value, Revision(++m_revision), false}},
+                            m_now);
   }
 
   void Remove(const std::string& key) {
-    m_knowledge->Take({{key, "", Revision(++m_revision), true}}, m_now);
+    m_change_decoder->Apply({{key, "", Revision(++m_revision), true}}, m_now);
   }
 
   void PutConfig(const std::string& version) {
@@ -63,33 +65,33 @@
                              "Services":{"Columns":[],"Rows":[]}})");
   }
 
-  void PutSoundServer(const std::string& instance) {
+  void PutValidServer(const std::string& instance) {
     Put("servers/" + instance,
         R"({"Service":"s","Address":"1.2.3.4:80","Zone":"d1","Version":"v1",
             "Slots":2,"State":"ready","ColdLeftS":0,"Sequence":1,
             "born":1792250284924})");
   }
 
-  size_t Servers() const { return m_front->Decisions().ServerCount(); }
+  size_t Servers() const { return m_proxy->Decisions().ServerCount(); }
 
-  uint64_t Version() const { return m_front->Decisions().Table()->m_version; }
+  uint64_t Version() const { return m_proxy->Decisions().Table()->m_version; }
 };
 
-std::unique_ptr<KnowledgeFixture> g_fixture;
+std::unique_ptr<DecoderFixture> g_fixture;
 
 void SetUp() {
-  g_fixture = std::make_unique<KnowledgeFixture>();
+  g_fixture = std::make_unique<DecoderFixture>();
 }
 
 void TearDown() {
   g_fixture.reset();
 }
 
-TestSuite(StoreKnowledge, .init = SetUp, .fini = TearDown);
+TestSuite(StoreChangeDecoder, .init = SetUp, .fini = TearDown);
 
-// A configuration that was accepted never reverts, whatever is read later: an
-// older version, a damaged one, or none at all.
-Test(StoreKnowledge, Config_OlderOrDamagedOrRemoved_NewestStays) {
+// An accepted configuration must never be replaced by an older version, a
+// damaged one, or a removal.
+Test(StoreChangeDecoder, Config_OlderOrDamagedOrRemoved_NewestStays) {
   g_fixture->PutConfig("r7");
   g_fixture->PutConfig("r5");
   cr_assert_eq(g_fixture->Version(), 7);
@@ -101,21 +103,21 @@
   cr_assert_eq(g_fixture->Version(), 12);
 }
 
-Test(StoreKnowledge, Server_DamagedEntry_IsLeftOut) {
-  g_fixture->PutSoundServer("i-1");
+Test(StoreChangeDecoder, Server_DamagedEntry_IsLeftOut) {
+  g_fixture->PutValidServer("i-1");
   g_fixture->Put("servers/i-2", R"({"Service":"s","Address":"nowhere",
                                     "Zone":"d1"})");
-  cr_assert_eq(g_fixture->m_front->Decisions().ServerCount(), 1);
+  cr_assert_eq(g_fixture->m_proxy->Decisions().ServerCount(), 1);
   g_fixture->Remove("servers/i-1");
-  cr_assert_eq(g_fixture->m_front->Decisions().ServerCount(), 0);
+  cr_assert_eq(g_fixture->m_proxy->Decisions().ServerCount(), 0);
 }
 
-// Something else writes over the entry of a server that was known. What is read
-// then names no server to send to, whatever was known before; the others hold,
-// and a sound entry brings the server back.
-Test(StoreKnowledge, KnownServer_EntryOverwritten_IsLeftOutUntilSoundAgain) {
-  g_fixture->PutSoundServer("i-1");
-  g_fixture->PutSoundServer("i-2");
+// Something else overwrites the entry of a known server. The server must be
+// dropped, the other servers stay, and a valid entry brings it back.
+Test(StoreChangeDecoder,
+     KnownServer_EntryOverwritten_IsDroppedUntilValidAgain) {
+  g_fixture->PutValidServer("i-1");
+  g_fixture->PutValidServer("i-2");
   for (const char* text :
        {"", "\xff\xfe\x01", "[]", R"({"State":"ready"})",
         R"({"Service":"s","Address":"1.2.3.4:80","Zone":"d1","Version":"v1",
@@ -124,25 +126,25 @@
             "Slots":2,"State":"resting","ColdLeftS":0,"Sequence":1})"}) {
     g_fixture->Put("servers/i-1", text);
     cr_assert_eq(g_fixture->Servers(), 1, "after %s", text);
-    g_fixture->PutSoundServer("i-1");
+    g_fixture->PutValidServer("i-1");
     cr_assert_eq(g_fixture->Servers(), 2);
   }
 }
 
-Test(StoreKnowledge, OwnEntry_Removed_IsTold) {
+Test(StoreChangeDecoder, OwnEntry_Removed_IsReported) {
   const FleetMember own{"vm-1", "10.0.0.1:80", "d1", "r1"};
   g_fixture->Put("fleet/vm-1", EncodeMember(own));
-  cr_assert_eq(g_fixture->m_knowledge->Fleet().size(), 1);
+  cr_assert_eq(g_fixture->m_change_decoder->Fleet().size(), 1);
   g_fixture->Remove("fleet/vm-1");
-  cr_assert_eq(g_fixture->m_own_removed, 1);
-  cr_assert(g_fixture->m_knowledge->Fleet().empty());
+  cr_assert_eq(g_fixture->m_own_removals, 1);
+  cr_assert(g_fixture->m_change_decoder->Fleet().empty());
 }
 
-Test(StoreKnowledge, Evacuation_PutAndRemoved_IsFollowed) {
+Test(StoreChangeDecoder, Evacuation_PutAndRemoved_IsFollowed) {
   g_fixture->Put("op/evacuate/d1", "{}");
-  cr_assert(g_fixture->m_front->Decisions().Picker().IsEvacuated("d1"));
+  cr_assert(g_fixture->m_proxy->Decisions().Picker().IsEvacuated("d1"));
   g_fixture->Remove("op/evacuate/d1");
-  cr_assert_not(g_fixture->m_front->Decisions().Picker().IsEvacuated("d1"));
+  cr_assert_not(g_fixture->m_proxy->Decisions().Picker().IsEvacuated("d1"));
 }
 
 }  // namespace
--- a/tests/store_fleet.cc
+++ b/tests/store_fleet.cc
@@ -14,19 +14,20 @@
 
 namespace {
 
-constexpr Duration kStoreTrip = milliseconds(10);
-constexpr Duration kVmTrip = milliseconds(2);
-/// As the real clients: beyond the time that a call may wait.
-constexpr Duration kStoreSlack = milliseconds(600);
-constexpr Duration kRelaySlack = milliseconds(300);
+constexpr Duration kStoreRoundTrip = milliseconds(10);
+constexpr Duration kVmLatency = milliseconds(2);
+/// Timeout margins beyond the time that a call may wait, as in the real
+/// clients.
+constexpr Duration kStoreTimeoutSlack = milliseconds(600);
+constexpr Duration kRelayTimeoutSlack = milliseconds(300);
 constexpr Duration kReadTimeout = milliseconds(800);
-constexpr Duration kTick = milliseconds(20);
-constexpr Duration kWatchStep = milliseconds(5);
-/// What was read with ReadMode::kMayBeOld lies this many changes behind.
-constexpr size_t kOldBy = 5;
+constexpr Duration kTickInterval = milliseconds(20);
+constexpr Duration kWatchPollInterval = milliseconds(5);
+/// A read with ReadMode::kMayBeStale omits this many of the latest changes.
+constexpr size_t kStaleReadChanges = 5;
 constexpr size_t kPageItems = 50;
 constexpr uint16_t kFeedPort = 7;
-constexpr Duration kLag = seconds(4);
+constexpr Duration kMaxLag = seconds(4);
 
 }  // namespace
 
@@ -55,22 +56,23 @@
 
 void StoreFleet::Start(Vm& vm) {
   ++vm.m_run;
-  vm.m_known.clear();
-  StoreFollower::Place place{
-      .m_most_lag = kLag,
+  vm.m_copy.clear();
+  StoreFollower::Options options{
+      .m_max_lag = kMaxLag,
       .m_domain_prefix = MemberPrefix(vm.m_member.m_failure_domain),
       .m_find_relays = [&vm](const std::vector<StoreItem>& entries) {
         return ChooseRelays(DecodeMembers(entries), vm.m_member, kFeedPort);
       }};
   vm.m_follower = std::make_unique<StoreFollower>(
-      m_log, std::move(place), static_cast<uint32_t>(vm.m_number + 1),
+      m_log, std::move(options), static_cast<uint32_t>(vm.m_number + 1),
       [this, &vm](const StoreMirror::Changes& changes) {
-        TakeChanges(vm, changes);
+        ApplyChanges(vm, changes);
       });
-  Do(vm, vm.m_follower->Start(m_queue.Now()));
+  Execute(vm, vm.m_follower->Start(m_queue.Now()));
   Tick(vm, vm.m_run);
-  Later(vm, kStoreTrip,
-        [this, &vm] { Put(KeyOf(vm.m_member), EncodeMember(vm.m_member)); });
+  RunAfter(vm, kStoreRoundTrip, [this, &vm] {
+    Put(MemberKey(vm.m_member), EncodeMember(vm.m_member));
+  });
 }
 
 void StoreFleet::Restart(size_t vm) {
@@ -95,26 +97,26 @@
   if (!vm.m_faults.m_is_down && !vm.m_faults.m_is_paused) {
     vm.m_follower->Tick(m_queue.Now());
   }
-  m_queue.After(kTick, [this, &vm, run] { Tick(vm, run); });
+  m_queue.After(kTickInterval, [this, &vm, run] { Tick(vm, run); });
 }
 
-void StoreFleet::TakeChanges(Vm& vm, const StoreMirror::Changes& changes) {
+void StoreFleet::ApplyChanges(Vm& vm, const StoreMirror::Changes& changes) {
   size_t lost = 0;
   for (const StoreItem& item : changes) {
-    const auto known = vm.m_known.find(item.m_key);
+    const auto known = vm.m_copy.find(item.m_key);
     const bool is_older =
-        known != vm.m_known.end() && item.m_revision < known->second.m_revision;
+        known != vm.m_copy.end() && item.m_revision < known->second.m_revision;
     m_has_regressed |= is_older;
     if (item.m_removed) {
       ++lost;
-      vm.m_known.erase(item.m_key);
+      vm.m_copy.erase(item.m_key);
     } else {
-      vm.m_known[item.m_key] = item;
+      vm.m_copy[item.m_key] = item;
     }
   }
-  m_most_lost_at_once = std::max(m_most_lost_at_once, lost);
+  m_max_removed_at_once = std::max(m_max_removed_at_once, lost);
   std::vector<FleetMember> fleet;
-  for (const auto& [key, item] : vm.m_known) {
+  for (const auto& [key, item] : vm.m_copy) {
     if (key.starts_with(kFleetPrefix)) {
       fleet.push_back(DecodeMember(item.m_value));
     }
@@ -122,67 +124,68 @@
   vm.m_follower->SetChoice(ChooseRelays(fleet, vm.m_member, kFeedPort));
 }
 
-void StoreFleet::Later(Vm& vm, Duration delay, std::function<void()> step) {
+void StoreFleet::RunAfter(Vm& vm, Duration delay, std::function<void()> step) {
   m_queue.After(delay, [this, &vm, run = vm.m_run, step = std::move(step)] {
     if (vm.m_run != run || vm.m_faults.m_is_down) {
       return;
     }
     if (vm.m_faults.m_is_paused) {
-      Later(vm, kTick, step);
+      RunAfter(vm, kTickInterval, step);
       return;
     }
     step();
   });
 }
 
-void StoreFleet::Do(Vm& vm, const FollowAction& action) {
-  std::visit([&](const auto& one) { Do(vm, one); }, action);
+void StoreFleet::Execute(Vm& vm, const FollowAction& action) {
+  std::visit([&](const auto& one) { Execute(vm, one); }, action);
 }
 
-void StoreFleet::Do(Vm& vm, const PauseFollowing& pause) {
-  Later(vm, pause.m_for,
-        [this, &vm] { Do(vm, vm.m_follower->Resume(m_queue.Now())); });
+void StoreFleet::Execute(Vm& vm, const PauseFollowing& pause) {
+  RunAfter(vm, pause.m_duration,
+           [this, &vm] { Execute(vm, vm.m_follower->Resume(m_queue.Now())); });
 }
 
-bool StoreFleet::IsAnswered(Vm& vm,
-                            Duration timeout,
-                            const std::function<void(const StoreRead&)>& take) {
-  StoreRead failed;
-  if (m_store_is_silent || vm.m_faults.m_is_store_cut) {
-    Later(vm, timeout, [take, failed] { take(failed); });
+bool StoreFleet::IsAnswered(
+    Vm& vm,
+    Duration timeout,
+    const std::function<void(const StoreReadResult&)>& take) {
+  StoreReadResult failed;
+  if (m_is_store_silent || vm.m_faults.m_is_cut_off_from_store) {
+    RunAfter(vm, timeout, [take, failed] { take(failed); });
     return false;
   }
-  if (m_store_refuses || vm.m_faults.m_is_store_closed) {
-    failed.m_end = StoreEnd::kRefused;
-    Later(vm, kStoreTrip, [take, failed] { take(failed); });
+  if (m_is_store_refusing || vm.m_faults.m_is_refused_by_store) {
+    failed.m_end = StoreOutcome::kRefused;
+    RunAfter(vm, kStoreRoundTrip, [take, failed] { take(failed); });
     return false;
   }
   return true;
 }
 
-void StoreFleet::Do(Vm& vm, const ReadPage& page) {
+void StoreFleet::Execute(Vm& vm, const ReadPage& page) {
   ++m_calls;
-  const auto take = [this, &vm](const StoreRead& read) {
-    Do(vm, vm.m_follower->PageRead(read, m_queue.Now()));
+  const auto take = [this, &vm](const StoreReadResult& read) {
+    Execute(vm, vm.m_follower->OnPageRead(read, m_queue.Now()));
   };
   if (!IsAnswered(vm, kReadTimeout, take)) {
     return;
   }
-  StoreRead read;
-  read.m_end = StoreEnd::kDone;
+  StoreReadResult read;
+  read.m_end = StoreOutcome::kDone;
   read.m_revision = Revision(m_revision);
   std::set<std::string> left_out;
-  if (page.m_mode == ReadMode::kMayBeOld) {
-    const size_t old_by = std::min(kOldBy, m_history.size());
+  if (page.m_mode == ReadMode::kMayBeStale) {
+    const size_t old_by = std::min(kStaleReadChanges, m_history.size());
     for (size_t at = m_history.size() - old_by; at < m_history.size(); ++at) {
       left_out.insert(m_history[at].m_key);
       read.m_revision = std::min(read.m_revision,
                                  Revision(m_history[at].m_revision.Get() - 1));
     }
   }
-  const std::string begin = std::max(page.m_prefix, page.m_behind);
-  for (auto it = page.m_behind.empty() ? m_items.lower_bound(begin)
-                                       : m_items.upper_bound(begin);
+  const std::string begin = std::max(page.m_prefix, page.m_after);
+  for (auto it = page.m_after.empty() ? m_items.lower_bound(begin)
+                                      : m_items.upper_bound(begin);
        it != m_items.end() && it->first.starts_with(page.m_prefix); ++it) {
     if (read.m_items.size() == kPageItems) {
       read.m_has_more = true;
@@ -193,16 +196,16 @@
     }
   }
   m_items_read += read.m_items.size();
-  Later(vm, kStoreTrip, [take, read] { take(read); });
+  RunAfter(vm, kStoreRoundTrip, [take, read] { take(read); });
 }
 
-StoreRead StoreFleet::EventsBehind(Revision revision) const {
-  StoreRead read;
-  if (revision.Get() < m_forgotten) {
-    read.m_end = StoreEnd::kHistoryGone;
+StoreReadResult StoreFleet::EventsAfter(Revision revision) const {
+  StoreReadResult read;
+  if (revision.Get() < m_discarded_revision) {
+    read.m_end = StoreOutcome::kHistoryGone;
     return read;
   }
-  read.m_end = StoreEnd::kDone;
+  read.m_end = StoreOutcome::kDone;
   read.m_revision = Revision(m_revision);
   for (const StoreItem& event : m_history) {
     if (event.m_revision > revision) {
@@ -212,56 +215,58 @@
   return read;
 }
 
-void StoreFleet::PollWatch(Vm& vm,
-                           Revision behind,
-                           TimePoint until,
-                           const std::function<void(const StoreRead&)>& take) {
-  // A watch that goes unanswered shows only when its own wait is over.
+void StoreFleet::PollWatch(
+    Vm& vm,
+    Revision after,
+    TimePoint until,
+    const std::function<void(const StoreReadResult&)>& take) {
+  // An unanswered watch is noticed only when its own wait is over.
   const auto left = std::max<Duration>(until - m_queue.Now(), Duration::zero());
-  if (!IsAnswered(vm, left + kStoreSlack, take)) {
+  if (!IsAnswered(vm, left + kStoreTimeoutSlack, take)) {
     return;
   }
-  const StoreRead read = EventsBehind(behind);
-  const bool is_over = read.m_end != StoreEnd::kDone || !read.m_items.empty() ||
-                       m_queue.Now() >= until;
+  const StoreReadResult read = EventsAfter(after);
+  const bool is_over = read.m_end != StoreOutcome::kDone ||
+                       !read.m_items.empty() || m_queue.Now() >= until;
   if (is_over) {
-    Later(vm, kStoreTrip, [take, read] { take(read); });
+    RunAfter(vm, kStoreRoundTrip, [take, read] { take(read); });
     return;
   }
-  Later(vm, kWatchStep, [this, &vm, behind, until, take] {
-    PollWatch(vm, behind, until, take);
+  RunAfter(vm, kWatchPollInterval, [this, &vm, after, until, take] {
+    PollWatch(vm, after, until, take);
   });
 }
 
-void StoreFleet::Do(Vm& vm, const WatchStore& watch) {
+void StoreFleet::Execute(Vm& vm, const WatchStore& watch) {
   ++m_calls;
-  PollWatch(vm, watch.m_behind, m_queue.Now() + watch.m_wait,
-            [this, &vm](const StoreRead& read) {
-              Do(vm, vm.m_follower->StoreAnswered(read, m_queue.Now()));
+  PollWatch(vm, watch.m_after, m_queue.Now() + watch.m_wait,
+            [this, &vm](const StoreReadResult& read) {
+              Execute(vm, vm.m_follower->OnStoreResponse(read, m_queue.Now()));
             });
 }
 
-void StoreFleet::Do(Vm& vm, const AskRelay& query) {
+void StoreFleet::Execute(Vm& vm, const AskRelay& query) {
   const auto is_answered = std::make_shared<bool>(false);
   const auto take = [this, &vm, is_answered](const FeedReply& reply) {
     if (*is_answered) {
       return;
     }
     *is_answered = true;
-    Do(vm, vm.m_follower->RelayAnswered(reply, m_queue.Now()));
+    Execute(vm, vm.m_follower->OnRelayReply(reply, m_queue.Now()));
   };
   const auto relay = std::find_if(m_vms.begin(), m_vms.end(),
                                   [&](const std::unique_ptr<Vm>& other) {
                                     return other->m_address == query.m_relay;
                                   });
-  Later(vm, query.m_query.m_wait + kRelaySlack, [take] { take(FeedReply()); });
+  RunAfter(vm, query.m_query.m_wait + kRelayTimeoutSlack,
+           [take] { take(FeedReply()); });
   Vm& other = **relay;
-  Later(other, kVmTrip, [this, &vm, &other, query, take] {
+  RunAfter(other, kVmLatency, [this, &vm, &other, query, take] {
     other.m_follower->Relay().Ask(
         query.m_query,
         [this, &vm, &other, take](const FeedReply& reply) {
           if (!other.m_faults.m_drops_answers) {
-            Later(vm, kVmTrip, [take, reply] { take(reply); });
+            RunAfter(vm, kVmLatency, [take, reply] { take(reply); });
           }
         },
         m_queue.Now());
@@ -291,43 +296,43 @@
 
 void StoreFleet::ForgetHistory() {
   m_history.clear();
-  m_forgotten = m_revision;
+  m_discarded_revision = m_revision;
 }
 
 std::vector<size_t> StoreFleet::Watchers() const {
   std::vector<size_t> watchers;
   for (const auto& vm : m_vms) {
-    if (vm->m_follower->IsOnStore()) {
+    if (vm->m_follower->IsWatchingStore()) {
       watchers.push_back(vm->m_number);
     }
   }
   return watchers;
 }
 
-bool StoreFleet::Knows(size_t vm,
-                       const std::string& key,
-                       const std::string& value) const {
-  const auto& known = m_vms[vm]->m_known;
+bool StoreFleet::HasValue(size_t vm,
+                          const std::string& key,
+                          const std::string& value) const {
+  const auto& known = m_vms[vm]->m_copy;
   const auto it = known.find(key);
   return it == known.end() ? value.empty() : it->second.m_value == value;
 }
 
-Duration StoreFleet::TimeUntilAllKnow(const std::string& key,
+Duration StoreFleet::TimeUntilAllHave(const std::string& key,
                                       const std::string& value,
-                                      Duration longest) {
+                                      Duration limit) {
   const TimePoint began = m_queue.Now();
-  while (m_queue.Now() - began < longest) {
+  while (m_queue.Now() - began < limit) {
     const bool all_know =
         std::all_of(m_vms.begin(), m_vms.end(), [&](const auto& vm) {
           return vm->m_faults.m_is_down || vm->m_faults.m_is_paused ||
-                 Knows(vm->m_number, key, value);
+                 HasValue(vm->m_number, key, value);
         });
     if (all_know) {
       return m_queue.Now() - began;
     }
-    RunFor(kTick);
+    RunFor(kTickInterval);
   }
-  return longest;
+  return limit;
 }
 
 }  // namespace sorrelplank::platform
--- a/tests/store_fleet.h
+++ b/tests/store_fleet.h
@@ -1,4 +1,5 @@
-/// @file store_fleet.h A store and the VMs that follow it, in virtual time.
+/// @file store_fleet.h Simulates a store and the VMs that follow it, in virtual
+/// time.
 
 #ifndef SORRELPLANK_TESTS_STORE_FLEET_H_
 #define SORRELPLANK_TESTS_STORE_FLEET_H_
@@ -16,58 +17,63 @@
 
 namespace sorrelplank::platform {
 
-/// What may be wrong with a VM.
+/// Faults injected into a VM.
 struct VmFaults {
-  bool m_is_down = false;          ///< Answers nothing and does nothing.
-  bool m_is_paused = false;        ///< As m_is_down, and goes on afterwards.
-  bool m_is_store_cut = false;     ///< Its calls to the store are not answered.
-  bool m_is_store_closed = false;  ///< The store refuses its calls.
-  bool m_drops_answers = false;    ///< What it says to other VMs is lost.
+  bool m_is_down = false;    ///< Does nothing and answers nothing.
+  bool m_is_paused = false;  ///< As m_is_down, but continues afterwards.
+  bool m_is_cut_off_from_store =
+      false;  ///< Its calls to the store are not answered.
+  bool m_is_refused_by_store = false;  ///< The store refuses its calls.
+  bool m_drops_answers = false;        ///< What it says to other VMs is lost.
 };
 
-/// A fleet of followers with real decisions over simulated links and a store
-/// that can be silent, refuse, lapse entries and forget its history.
+/// A fleet of real StoreFollower objects over simulated links, and a store that
+/// can be silent, refuse calls, expire entries and discard its history.
 class StoreFleet {
  public:
   StoreFleet(size_t domains, size_t vms_per_domain);
   ~StoreFleet();
 
-  /// Starts every VM within a third of a second and registers it.
+  /// Starts all VMs within a third of a second; each one registers itself.
   void StartAll();
   void RunFor(Duration time);
 
-  // The store, as others write to it.
+  // The store, as seen by other writers.
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
   void ForgetHistory();
-  /// Calls of all VMs are answered again, or no more.
-  void SetStoreRefuses(bool refuses) { m_store_refuses = refuses; }
-  void SetStoreSilent(bool is_silent) { m_store_is_silent = is_silent; }
+  /// Whether the store refuses or ignores the calls of all VMs.
+  void SetStoreRefuses(bool refuses) { m_is_store_refusing = refuses; }
+  void SetStoreSilent(bool is_silent) { m_is_store_silent = is_silent; }
 
   TimePoint Now() const { return m_queue.Now(); }
   size_t Size() const { return m_vms.size(); }
   VmFaults& FaultsOf(size_t vm) { return m_vms[vm]->m_faults; }
   void Restart(size_t vm);
-  /// All VMs end, and start together after some time.
+  /// Stops all VMs, and starts them together after the given time.
   void RestartAll(Duration away);
-  /// Positions of the VMs that watch the store themselves.
+  /// Indices of the VMs that watch the store themselves.
   std::vector<size_t> Watchers() const;
   const StoreFollower& Follower(size_t vm) const {
     return *m_vms[vm]->m_follower;
   }
-  /// Whether a VM's copy holds this value of the key; empty: does not hold it.
-  bool Knows(size_t vm, const std::string& key, const std::string& value) const;
-  /// How long until all VMs that are up know it; the longest time if never.
-  Duration TimeUntilAllKnow(const std::string& key,
+  /// Whether a VM's copy has this value for the key; an empty value means that
+  /// the key is absent.
+  bool HasValue(size_t vm,
+                const std::string& key,
+                const std::string& value) const;
+  /// Time until all running VMs have the value; `limit` if that does not
+  /// happen.
+  Duration TimeUntilAllHave(const std::string& key,
                             const std::string& value,
-                            Duration longest);
-  /// Largest number of keys that vanished from one VM's copy within a step.
-  size_t MostLostAtOnce() const { return m_most_lost_at_once; }
-  /// Whether a VM ever took a value that was older than the one it had.
+                            Duration limit);
+  /// Largest number of keys that disappeared from a VM's copy in one step.
+  size_t MaxRemovedAtOnce() const { return m_max_removed_at_once; }
+  /// Whether a VM ever replaced a value by an older one.
   bool HasRegressed() const { return m_has_regressed; }
 
   uint64_t Calls() const { return m_calls; }
-  /// Keys in the pages that VMs read from the store.
+  /// Number of items in the pages that VMs read from the store.
   uint64_t ItemsRead() const { return m_items_read; }
 
  private:
@@ -77,44 +83,46 @@
     VmAddress m_address;
     VmFaults m_faults;
     std::unique_ptr<StoreFollower> m_follower;
-    std::map<std::string, StoreItem> m_known;
-    /// Replies to calls of an earlier run are dropped.
+    std::map<std::string, StoreItem> m_copy;
+    /// Incremented at each restart; replies to calls of an earlier run are
+    /// dropped.
     uint64_t m_run = 0;
   };
 
   void Start(Vm& vm);
   void Tick(Vm& vm, uint64_t run);
-  void TakeChanges(Vm& vm, const StoreMirror::Changes& changes);
-  void Do(Vm& vm, const FollowAction& action);
-  void Do(Vm& vm, const ReadPage& page);
-  void Do(Vm& vm, const WatchStore& watch);
-  void Do(Vm& vm, const AskRelay& query);
-  void Do(Vm& vm, const PauseFollowing& pause);
-  /// Runs a step of a VM once it is neither paused nor down, unless it was
-  /// started anew meanwhile.
-  void Later(Vm& vm, Duration delay, std::function<void()> step);
-  /// Whether the store answers this VM; a refusal or silence is handed over.
+  void ApplyChanges(Vm& vm, const StoreMirror::Changes& changes);
+  void Execute(Vm& vm, const FollowAction& action);
+  void Execute(Vm& vm, const ReadPage& page);
+  void Execute(Vm& vm, const WatchStore& watch);
+  void Execute(Vm& vm, const AskRelay& query);
+  void Execute(Vm& vm, const PauseFollowing& pause);
+  /// Runs a step of a VM after the delay. While the VM is paused, the step is
+  /// delayed; if it is down or was restarted, the step is dropped.
+  void RunAfter(Vm& vm, Duration delay, std::function<void()> step);
+  /// Returns whether the store answers this VM; otherwise passes the refusal or
+  /// the timeout to `take`.
   bool IsAnswered(Vm& vm,
                   Duration timeout,
-                  const std::function<void(const StoreRead&)>& take);
-  StoreRead EventsBehind(Revision revision) const;
+                  const std::function<void(const StoreReadResult&)>& take);
+  StoreReadResult EventsAfter(Revision revision) const;
   void PollWatch(Vm& vm,
-                 Revision behind,
+                 Revision after,
                  TimePoint until,
-                 const std::function<void(const StoreRead&)>& take);
+                 const std::function<void(const StoreReadResult&)>& take);
 
   trial::EventQueue m_queue;
   std::map<std::string, StoreItem> m_items;
   std::vector<StoreItem> m_history;
   uint64_t m_revision = 10;
-  uint64_t m_forgotten = 0;
-  bool m_store_refuses = false;
-  bool m_store_is_silent = false;
+  uint64_t m_discarded_revision = 0;
+  bool m_is_store_refusing = false;
+  bool m_is_store_silent = false;
   std::vector<std::unique_ptr<Vm>> m_vms;
   DecisionLog m_log;
   uint64_t m_calls = 0;
   uint64_t m_items_read = 0;
-  size_t m_most_lost_at_once = 0;
+  size_t m_max_removed_at_once = 0;
   bool m_has_regressed = false;
 };
 
--- a/tests/store_mirror_test.cc
+++ b/tests/store_mirror_test.cc
@@ -1,4 +1,4 @@
-/// @file store_mirror_test.cc Merging of the store's pages and events.
+/// @file store_mirror_test.cc Merging the store's pages and events.
 
 #include "platform/store_mirror.h"
 
@@ -9,7 +9,7 @@
 namespace sorrelplank::platform {
 namespace {
 
-/// A copy with twelve servers, read at one second.
+/// A mirror with twelve servers, read at t = 1 s.
 struct MirrorFixture {
   StoreMirror m_mirror;
   TimePoint m_now{seconds(1)};
@@ -51,21 +51,21 @@
 
 TestSuite(StoreMirror, .init = SetUp, .fini = TearDown);
 
-Test(StoreMirror, Removal_NoOutage_ActsAtOnce) {
+Test(StoreMirror, Removal_NoOutage_IsAppliedAtOnce) {
   auto& mirror = g_fixture->m_mirror;
   const auto changes =
       mirror.Apply(g_fixture->AllRemoved(), g_fixture->m_now + seconds(60));
   cr_assert_eq(changes.size(), 12);
 }
 
-// The store is away for longer than the servers' leases. It comes back with
-// all entries lapsed, and the servers write them again within two seconds.
-// Meanwhile clients must be served: no server may drop out.
-Test(StoreMirror, AllLapsed_StoreJustBack_MostAreHeldUntilTheyReturn) {
+// The store is down for longer than the servers' leases. When it recovers, all
+// entries have expired, and the servers write them again within two seconds.
+// Requests must be served meanwhile, so no server may be dropped.
+Test(StoreMirror, AllExpired_StoreJustBack_MostAreDeferredUntilTheyReturn) {
   auto& mirror = g_fixture->m_mirror;
   const TimePoint back = g_fixture->m_now + seconds(20);
-  mirror.NoteTrouble();
-  mirror.NoteAnswer(back);
+  mirror.MarkStoreFailed();
+  mirror.MarkStoreAnswered(back);
   const auto removed = mirror.Apply(g_fixture->AllRemoved(), back);
   cr_assert_leq(removed.size(), 2);
   std::vector<StoreItem> returned;
@@ -73,27 +73,28 @@
     returned.push_back(MirrorFixture::Item(item.m_key, 200));
   }
   mirror.Apply(returned, back + seconds(1));
-  cr_assert(mirror.Release(back + seconds(10)).empty());
+  cr_assert(mirror.ApplyDeferred(back + seconds(10)).empty());
 }
 
-Test(StoreMirror, AllLapsed_NotBackAfterTwoSeconds_AreGone) {
+Test(StoreMirror, AllExpired_NotBackAfterTwoSeconds_AreRemoved) {
   auto& mirror = g_fixture->m_mirror;
   const TimePoint back = g_fixture->m_now + seconds(20);
-  mirror.NoteTrouble();
-  mirror.NoteAnswer(back);
+  mirror.MarkStoreFailed();
+  mirror.MarkStoreAnswered(back);
   const size_t at_once = mirror.Apply(g_fixture->AllRemoved(), back).size();
-  cr_assert(mirror.Release(back + milliseconds(1900)).empty());
-  cr_assert_eq(mirror.Release(back + milliseconds(2100)).size(), 12 - at_once);
+  cr_assert(mirror.ApplyDeferred(back + milliseconds(1900)).empty());
+  cr_assert_eq(mirror.ApplyDeferred(back + milliseconds(2100)).size(),
+               12 - at_once);
 }
 
 // An entry VM is cut off from the store for ten seconds, and a server leaves
-// meanwhile. The VM reads its removal late; every further second of waiting
-// sends the server requests that it no longer serves.
-Test(StoreMirror, OneLeft_WhileCutOff_ActsAtOnce) {
+// meanwhile. The VM learns of the removal late; with any further delay, it
+// would send the server requests that it no longer serves.
+Test(StoreMirror, OneLeft_WhileCutOff_IsAppliedAtOnce) {
   auto& mirror = g_fixture->m_mirror;
   const TimePoint back = g_fixture->m_now + seconds(10);
-  mirror.NoteTrouble();
-  mirror.NoteAnswer(back);
+  mirror.MarkStoreFailed();
+  mirror.MarkStoreAnswered(back);
   std::vector<StoreItem> left = g_fixture->m_items;
   left.pop_back();
   const auto changes = mirror.Load(left, back);
@@ -101,19 +102,19 @@
   cr_assert(changes.front().m_removed);
 }
 
-Test(StoreMirror, Evacuation_LiftedDuringOutage_ActsAtOnce) {
+Test(StoreMirror, Evacuation_LiftedDuringOutage_IsAppliedAtOnce) {
   auto& mirror = g_fixture->m_mirror;
   const TimePoint back = g_fixture->m_now + seconds(10);
   mirror.Apply({MirrorFixture::Item("op/evacuate/a", 20)}, g_fixture->m_now);
-  mirror.NoteTrouble();
-  mirror.NoteAnswer(back);
+  mirror.MarkStoreFailed();
+  mirror.MarkStoreAnswered(back);
   const auto changes =
       mirror.Apply({MirrorFixture::Removal("op/evacuate/a", 30)}, back);
   cr_assert_eq(changes.size(), 1);
 }
 
-// Pages are read one after the other, and the watch begins at the first one's
-// revision; so events may be older than what a later page brought.
+// Pages are read one after the other, and the watch starts at the first page's
+// revision, so events may be older than what a later page contained.
 Test(StoreMirror, Event_OlderThanThePage_IsIgnored) {
   auto& mirror = g_fixture->m_mirror;
   cr_assert(
--- a/tests/store_watch_test.cc
+++ b/tests/store_watch_test.cc
@@ -1,4 +1,4 @@
-/// @file store_watch_test.cc Following the store through its faults.
+/// @file store_watch_test.cc Following the store through its failures.
 
 #include "platform/store_watch.h"
 
@@ -20,7 +20,7 @@
 namespace sorrelplank::platform {
 namespace {
 
-/// A stand-in store and a watch on it, over loopback.
+/// A stand-in store and a watch on it over loopback.
 struct WatchFixture : ServedStore {
   HttpClient m_http{m_io};
   StoreClient m_client{
@@ -42,8 +42,8 @@
     m_log = std::make_unique<DecisionLog>("vm", m_pipe[1]);
     m_watch = std::make_unique<StoreWatch>(
         m_io, m_client, m_feed, *m_log,
-        StoreFollower::Place{
-            .m_most_lag = seconds(2),
+        StoreFollower::Options{
+            .m_max_lag = seconds(2),
             .m_domain_prefix = "fleet/d1/",
             .m_find_relays =
                 [](const std::vector<StoreItem>&) { return RelayChoice(); }},
@@ -65,7 +65,7 @@
 
   void Put(const std::string& key, const std::string& value) {
     bool is_done = false;
-    m_client.Put(key, value, LeaseId(), [&](StoreEnd) { is_done = true; });
+    m_client.Put(key, value, LeaseId(), [&](StoreOutcome) { is_done = true; });
     RunUntil([&] { return is_done; });
   }
 
@@ -81,7 +81,7 @@
     return it != m_seen.end() && it->second == value;
   }
 
-  /// Ends the test by its own time limit where the condition never holds.
+  /// If the condition never holds, the test's own time limit ends it.
   template <typename Condition>
   void RunUntil(const Condition& is_done) {
     m_io.restart();
@@ -103,23 +103,24 @@
 
 TestSuite(StoreWatch, .init = SetUp, .fini = TearDown, .timeout = 60);
 
-// Every change wakes every VM, and each call is paid for. Large fleets gather
-// longer, but never more than the part of the allowed time that leaves one call
-// to fail.
-Test(StoreWatch, Gathering_FleetGrows_StaysWithinTheAllowedLag) {
-  cr_assert_lt(GatherTime(8, false, milliseconds(2500)), milliseconds(300));
-  cr_assert_eq(GatherTime(84, false, seconds(4)), Duration(milliseconds(1600)));
-  cr_assert_eq(GatherTime(710, false, seconds(3)),
+// Every change wakes every VM, and each call is charged. Large fleets coalesce
+// changes for longer, but never so long that the allowed time leaves no room
+// for a failed call.
+Test(StoreWatch, Coalescing_FleetGrows_StaysWithinTheAllowedLag) {
+  cr_assert_lt(CoalesceDelay(8, false, milliseconds(2500)), milliseconds(300));
+  cr_assert_eq(CoalesceDelay(84, false, seconds(4)),
+               Duration(milliseconds(1600)));
+  cr_assert_eq(CoalesceDelay(710, false, seconds(3)),
                Duration(milliseconds(1200)));
 }
 
-// A follower learns of a change after its relay has gathered, and where that
-// relay has fallen silent, after the relay's wait and the time limit behind it.
-// All of this stays within the allowed time, with a call that fails besides.
-Test(StoreWatch, Gathering_ByRelays_LeavesTimeForARelayThatFails) {
+// A follower learns of a change after its relay's coalescing delay and, if the
+// relay has fallen silent, after the relay's wait plus the timeout margin.
+// Together with one failed call, this must fit into the allowed time.
+Test(StoreWatch, Coalescing_ByRelays_LeavesTimeForARelayFailure) {
   for (const Duration lag : {milliseconds(2500), milliseconds(4000)}) {
-    const Duration gather = GatherTime(710, true, lag);
-    const Duration relay_fails = RelayWait(lag) + milliseconds(300);
+    const Duration gather = CoalesceDelay(710, true, lag);
+    const Duration relay_fails = RelayPollWait(lag) + milliseconds(300);
     const Duration call_fails = milliseconds(800);
     cr_assert_leq(relay_fails, lag / 2);
     cr_assert_leq(gather + relay_fails + call_fails, lag);
@@ -142,8 +143,8 @@
   g_fixture->RunUntil([] { return g_fixture->Sees("op/config", "new"); });
 }
 
-// The store forgets its history while a change was made: the watch learns that
-// it cannot go on, and everything is read again.
+// The store discards its history while a change is made: the watch reports that
+// it cannot continue, and everything is read again.
 Test(StoreWatch, HistoryForgotten_ChangeMissed_IsReadAgain) {
   g_fixture->Put("op/config", "old");
   g_fixture->m_watch->Start();
@@ -154,9 +155,9 @@
   g_fixture->RunUntil([] { return g_fixture->Sees("op/config", "new"); });
 }
 
-// The store answers nothing for a second, or refuses everything. What was known
-// stays known, and what changes afterwards is seen.
-Test(StoreWatch, Outage_SilentOrRefusing_GoesOnAfterwards) {
+// The store does not respond for a second, or refuses every call. Known values
+// are kept, and later changes are seen.
+Test(StoreWatch, Outage_SilentOrRefusing_ContinuesAfterwards) {
   g_fixture->Put("op/config", "old");
   g_fixture->m_watch->Start();
   g_fixture->RunUntil([] { return g_fixture->Sees("op/config", "old"); });
@@ -172,8 +173,9 @@
   }
 }
 
-// Every answer to a write is lost, though it was done, and some writes are done
-// only later. The entry stands in the store in the end, once.
+// The response to every write is lost although the write was done, and some
+// writes take effect only later. In the end, the entry must be in the store,
+// once.
 Test(StoreWatch, Registration_AnswersLost_EntryAppears) {
   g_fixture->m_watch->Start();
   g_fixture->SetFaults(R"({"late_ms":200})");
@@ -184,14 +186,14 @@
   g_fixture->SetFaults("{}");
 }
 
-// Somebody takes the VM's entry away while it lives: it writes it again.
+// Somebody removes the entry of a live VM: the VM writes it again.
 Test(StoreWatch, Registration_EntryRemoved_IsWrittenAgain) {
   Registration registration(g_fixture->m_io, g_fixture->m_client,
                             *g_fixture->m_log, "fleet/vm", "entry", seconds(3));
   g_fixture->m_watch->Start();
   registration.Start();
   g_fixture->RunUntil([] { return g_fixture->Sees("fleet/vm", "entry"); });
-  g_fixture->m_client.EndLease(LeaseId(1), [](StoreEnd) {});
+  g_fixture->m_client.EndLease(LeaseId(1), [](StoreOutcome) {});
   g_fixture->RunUntil([] { return g_fixture->m_seen.empty(); });
   registration.OnRemoved();
   g_fixture->RunUntil([] { return g_fixture->Sees("fleet/vm", "entry"); });
