--- a/soak/soak_caller.cc
+++ b/soak/soak_caller.cc
@@ -70,7 +70,7 @@
 }
 
 void SoakCaller::Send() {
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   const bool is_read = m_random() % 2 == 0;
   const std::string path = is_read ? "/read/" + m_id : "/write/" + m_id;
   const std::string body = is_read ? "" : "body of " + m_id;
@@ -141,7 +141,7 @@
 
 void SoakCaller::OnAnswer() {
   m_limit.cancel();
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   const std::string* id = FindField(m_response.m_headers, names.m_request_id);
   m_ledger.Answered(m_id, {.m_status = static_cast<int>(m_parser.status_code),
                            .m_has_stamp = FindField(m_response.m_headers,
--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -203,7 +203,7 @@
                             uint64_t seed) {
   Random random(seed);
   const Vm& vm = AnyVm(random);
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   const std::string id = path.substr(1) + "-" + std::to_string(attempt);
   m_ledger.Sent(id, {.m_vm = vm.m_name,
                      .m_path = path,
@@ -232,7 +232,7 @@
 }
 
 void SoakWorld::EndAttempt(const std::string& id, const HttpResult& result) {
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   if (result.m_end != FetchEnd::kAnswered) {
     const bool is_connected = result.m_end != FetchEnd::kConnectFailed;
     m_ledger.Ended(id,
--- a/soak/soak_server.cc
+++ b/soak/soak_server.cc
@@ -82,7 +82,7 @@
 void SoakServer::Reject(const HttpRequest& request,
                         const HttpReply& reply,
                         int status) {
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   HttpResponse response;
   response.m_status = status;
   const std::string id = request.Header(names.m_request_id).value_or("");
@@ -94,7 +94,7 @@
 }
 
 void SoakServer::AddNotice(const std::string& id, HttpResponse& response) {
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   ServerNotice notice = m_notice;
   if (response.m_status != kUnavailable) {
     notice.m_pause.reset();
@@ -121,7 +121,7 @@
   if (!m_is_up) {
     return;
   }
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   const auto expected = request.Header(names.m_expected_instance);
   if (expected && *expected != m_instance) {
     Reject(request, reply, 421);
@@ -144,7 +144,7 @@
 }
 
 void SoakServer::Run(Work work) {
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   const std::string id = work.m_request.Header(names.m_request_id).value_or("");
   m_ledger.Runs(
       id,
@@ -178,7 +178,7 @@
 }
 
 void SoakServer::Finish(const Work& work) {
-  const ProxyNames names = platform::HeaderNames();
+  const ProxyHeaderNames names = platform::HeaderNames();
   const std::string id = work.m_request.Header(names.m_request_id).value_or("");
   HttpResponse response;
   response.m_headers = {{names.m_request_id, id},
--- a/src/proxy/caller_key.cc
+++ b/src/proxy/caller_key.cc
@@ -1,4 +1,4 @@
-/// @file caller_key.cc Reading of credentials.
+/// @file caller_key.cc Parsing of client credentials.
 
 #include "net/http_message_type.h"
 #include "proxy/caller_key_func.h"
--- a/src/proxy/caller_key_func.h
+++ b/src/proxy/caller_key_func.h
@@ -1,4 +1,4 @@
-/// @file caller_key_func.h The key that a client shows.
+/// @file caller_key_func.h Parser for the API key in a client's credentials.
 
 #ifndef SORRELPLANK_PROXY_CALLER_KEY_FUNC_H_
 #define SORRELPLANK_PROXY_CALLER_KEY_FUNC_H_
@@ -8,9 +8,10 @@
 
 namespace sorrelplank {
 
-/// The key in credentials of the scheme "Bearer" (RFC 6750); nothing for any
-/// other text. Credentials that a client sent twice are joined by a comma, and
-/// so name no key: it is not clear which one is meant.
+/// Returns the key from credentials of the scheme "Bearer" (RFC 6750), or
+/// std::nullopt for another scheme and for a missing key. Duplicate credential
+/// fields arrive joined by a comma, which matches no configured key: it is
+/// ambiguous which one is meant.
 std::optional<std::string> ParseBearerKey(const std::string& credentials);
 
 }  // namespace sorrelplank
--- a/src/proxy/client_directory.cc
+++ b/src/proxy/client_directory.cc
@@ -1,4 +1,4 @@
-/// @file client_directory.cc Kept choices.
+/// @file client_directory.cc Cache of directory answers.
 
 #include "proxy/client_directory.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Kept choices; a client may write anything into a query.
-constexpr size_t kMostKept = 256;
+/// Bounds the cache, since clients may send arbitrary query values.
+constexpr size_t kMaxCachedQueries = 256;
 
-std::string KeyOf(const DirectoryQuery& query) {
+std::string CacheKey(const DirectoryQuery& query) {
   std::string key = query.m_region + '\n' + query.m_failure_domain;
   for (const std::string& home : query.m_home_regions) {
     key += '\n' + home;
@@ -25,21 +25,21 @@
 
 void ClientDirectory::SetFleet(std::vector<FleetMember> fleet) {
   m_fleet = std::move(fleet);
-  m_addresses.clear();
+  m_cached_addresses.clear();
 }
 
 const std::vector<std::string>& ClientDirectory::AddressesFor(
     const DirectoryQuery& query) {
-  const std::string key = KeyOf(query);
-  const auto known = m_addresses.find(key);
-  if (known != m_addresses.end()) {
-    return known->second;
+  const std::string key = CacheKey(query);
+  const auto cached = m_cached_addresses.find(key);
+  if (cached != m_cached_addresses.end()) {
+    return cached->second;
   }
-  if (m_addresses.size() >= kMostKept) {
-    m_addresses.clear();
+  if (m_cached_addresses.size() >= kMaxCachedQueries) {
+    m_cached_addresses.clear();
   }
-  ++m_choices;
-  return m_addresses[key] = ChooseAddresses(m_fleet, query);
+  ++m_cache_misses;
+  return m_cached_addresses[key] = ChooseAddresses(m_fleet, query);
 }
 
 }  // namespace sorrelplank
--- a/src/proxy/client_directory.h
+++ b/src/proxy/client_directory.h
@@ -1,4 +1,4 @@
-/// @file client_directory.h Answers clients that ask which entry VMs to use.
+/// @file client_directory.h Cached lookup of the entry VMs for a client.
 
 #ifndef SORRELPLANK_PROXY_CLIENT_DIRECTORY_H_
 #define SORRELPLANK_PROXY_CLIENT_DIRECTORY_H_
@@ -14,24 +14,25 @@
 
 struct DirectoryQuery;
 
-/// Keeps the choice of addresses until the fleet changes.
+/// Answers clients that ask which entry VMs to use. Caches the addresses per
+/// query until the fleet changes.
 ///
 /// Load pattern: thousands of clients ask every two seconds, mostly the same
 /// few VMs, in a fleet of a thousand.
 class ClientDirectory {
  public:
-  /// Entry VMs that clients may be sent to.
+  /// Sets the entry VMs that clients may be sent to and clears the cache.
   void SetFleet(std::vector<FleetMember> fleet);
   const std::vector<std::string>& AddressesFor(const DirectoryQuery& query);
 
-  /// Choices that were made so far.
-  uint64_t Choices() const { return m_choices; }
+  /// Number of queries whose addresses had to be computed.
+  uint64_t CacheMisses() const { return m_cache_misses; }
 
  private:
   std::vector<FleetMember> m_fleet;
-  /// By the query's fields.
-  std::map<std::string, std::vector<std::string>> m_addresses;
-  uint64_t m_choices = 0;
+  /// Keyed by the concatenated fields of the query.
+  std::map<std::string, std::vector<std::string>> m_cached_addresses;
+  uint64_t m_cache_misses = 0;
 };
 
 }  // namespace sorrelplank
--- a/src/proxy/datagram_socket.cc
+++ b/src/proxy/datagram_socket.cc
@@ -35,13 +35,13 @@
                                   return;
                                 }
                                 if (!error) {
-                                  Take(bytes);
+                                  HandleDatagram(bytes);
                                 }
                                 Receive();
                               });
 }
 
-void DatagramSocket::Take(size_t bytes) {
+void DatagramSocket::HandleDatagram(size_t bytes) {
   ++m_received;
   const VmAddress sender{m_sender.address().to_v4().to_uint(), m_sender.port()};
   m_malformed += m_handler(m_buffer.data(), bytes, sender) ? 0 : 1;
--- a/src/proxy/datagram_socket.h
+++ b/src/proxy/datagram_socket.h
@@ -1,4 +1,4 @@
-/// @file datagram_socket.h Datagrams between entry VMs.
+/// @file datagram_socket.h UDP socket for messages between entry VMs.
 
 #ifndef SORRELPLANK_PROXY_DATAGRAM_SOCKET_H_
 #define SORRELPLANK_PROXY_DATAGRAM_SOCKET_H_
@@ -14,27 +14,29 @@
 
 namespace sorrelplank {
 
-/// Sends and receives datagrams at one address.
+/// Non-blocking UDP socket bound to one local address.
 class DatagramSocket {
  public:
-  /// Takes a datagram that fits a usual packet; whether it could be read.
+  /// Receives a datagram of at most one packet; returns whether it could be
+  /// parsed.
   using Handler =
       std::function<bool(const char* bytes, size_t length, VmAddress sender)>;
 
-  /// Listens at once; throws std::system_error where it cannot.
+  /// Binds the socket and starts receiving; throws std::system_error on
+  /// failure.
   DatagramSocket(asio::io_context& io, VmAddress own, Handler handler);
 
-  /// Never blocks; what cannot be sent is counted and dropped.
+  /// Never blocks; a datagram that cannot be sent is counted and dropped.
   void Send(const std::string& bytes, VmAddress peer);
 
-  /// Counts of datagrams, for metrics.
+  /// Datagram counts for metrics.
   uint64_t Received() const { return m_received; }
   uint64_t Malformed() const { return m_malformed; }
   uint64_t Unsent() const { return m_unsent; }
 
  private:
   void Receive();
-  void Take(size_t bytes);
+  void HandleDatagram(size_t bytes);
 
   asio::ip::udp::socket m_socket;
   Handler m_handler;
--- a/src/proxy/decision_log.cc
+++ b/src/proxy/decision_log.cc
@@ -1,4 +1,4 @@
-/// @file decision_log.cc Formatting and bounded writing.
+/// @file decision_log.cc Formatting and non-blocking output of log lines.
 
 #include "proxy/decision_log.h"
 
@@ -16,8 +16,9 @@
 
 namespace {
 
-/// Some seconds of lines under overload; small beside the process's memory.
-constexpr size_t kMostPending = size_t{256} * 1024;
+/// Holds some seconds of lines under overload; small compared with the memory
+/// of the process.
+constexpr size_t kMaxPendingBytes = size_t{256} * 1024;
 
 /// Appends the JSON text of a value.
 struct AppendValue {
@@ -47,7 +48,7 @@
 
 void DecisionLog::Write(const char* event,
                         std::initializer_list<LogField> fields) {
-  if (m_pending.size() > kMostPending) {
+  if (m_pending.size() > kMaxPendingBytes) {
     ++m_dropped;
     return;
   }
@@ -62,9 +63,10 @@
 }
 
 void DecisionLog::Flush() {
-  if (m_dropped != m_told_dropped && m_pending.size() < kMostPending / 2) {
-    const auto dropped = static_cast<int64_t>(m_dropped - m_told_dropped);
-    m_told_dropped = m_dropped;
+  if (m_dropped != m_reported_dropped &&
+      m_pending.size() < kMaxPendingBytes / 2) {
+    const auto dropped = static_cast<int64_t>(m_dropped - m_reported_dropped);
+    m_reported_dropped = m_dropped;
     Write("log_lines_dropped", {{"count", dropped}});
   }
   if (m_pending.empty()) {
--- a/src/proxy/decision_log.h
+++ b/src/proxy/decision_log.h
@@ -1,4 +1,4 @@
-/// @file decision_log.h Structured log lines on standard output.
+/// @file decision_log.h Structured log written to standard output.
 
 #ifndef SORRELPLANK_PROXY_DECISION_LOG_H_
 #define SORRELPLANK_PROXY_DECISION_LOG_H_
@@ -13,21 +13,22 @@
 
 namespace sorrelplank {
 
-/// A field of a line.
+/// Name and value of one field of a log line.
 struct LogField {
   const char* m_name;
   std::variant<std::string, int64_t, double> m_value;
 };
 
-/// One JSON object a line. Never blocks: what standard output does not take is
-/// kept up to a bound, and what goes beyond it is counted and dropped.
+/// Writes one JSON object per line. Never blocks: lines that the descriptor
+/// does not accept are buffered up to a limit; lines beyond it are counted and
+/// dropped.
 class DecisionLog {
  public:
-  /// Makes the descriptor non-blocking.
+  /// Switches the descriptor to non-blocking mode.
   DecisionLog(std::string vm, int descriptor);
 
   void Write(const char* event, std::initializer_list<LogField> fields);
-  /// Hands to the descriptor what it takes now.
+  /// Writes as much of the buffer as the descriptor accepts now.
   void Flush();
 
   uint64_t Dropped() const { return m_dropped; }
@@ -37,10 +38,10 @@
   int m_descriptor;
   std::string m_pending;
   uint64_t m_dropped = 0;
-  uint64_t m_told_dropped = 0;
+  uint64_t m_reported_dropped = 0;
 };
 
-/// Whole milliseconds for a field.
+/// Converts to whole milliseconds for a log field.
 int64_t LogMs(Duration duration);
 
 }  // namespace sorrelplank
--- a/src/proxy/directory.cc
+++ b/src/proxy/directory.cc
@@ -1,4 +1,4 @@
-/// @file directory.cc Choice of entry VMs for a client.
+/// @file directory.cc Selection of entry VMs for a client.
 
 #include <xxhash.h>
 
@@ -13,23 +13,23 @@
 namespace {
 
 using Members = std::vector<const FleetMember*>;
-using MemberTest = std::function<bool(const FleetMember&)>;
+using MemberPredicate = std::function<bool(const FleetMember&)>;
 
-/// Processor and link that go together in the smallest VMs.
-constexpr double kUnitCores = 0.1;
-constexpr double kUnitMbps = 20;
-/// Part of a failure domain's processor and link that its clients are sent to,
-/// the largest VMs first. Clients use all addresses alike, and a small VM would
-/// get as much as a large one; the others stand by.
-constexpr double kCarryingPart = 1.0 / 3;
-/// At least so many addresses, so that one VM's end is felt by few clients.
-constexpr size_t kLeastAddresses = 8;
-/// VMs of a failure domain from which on a part of them is enough. With fewer,
-/// clients get all VMs of their region.
-constexpr size_t kLargeDomain = 40;
+/// Processor cores and link speed of the smallest VM size.
+constexpr double kSmallestVmCores = 0.1;
+constexpr double kSmallestVmLinkMbps = 20;
+/// Share of a failure domain's capacity that its clients are sent to, the
+/// largest VMs first. Clients spread their load evenly over all addresses, so
+/// that a small VM would get as much as a large one; the other VMs stand by.
+constexpr double kTargetCapacityShare = 1.0 / 3;
+/// Minimum number of addresses, so that the loss of one VM affects few clients.
+constexpr size_t kMinAddresses = 8;
+/// Number of VMs from which on a failure domain offers clients only a part of
+/// them. In smaller ones clients get all VMs of their region.
+constexpr size_t kLargeDomainVms = 40;
 
-Members Matching(const std::vector<FleetMember>& fleet,
-                 const MemberTest& test) {
+Members FilterMembers(const std::vector<FleetMember>& fleet,
+                      const MemberPredicate& test) {
   Members members;
   for (const FleetMember& member : fleet) {
     if (test(member)) {
@@ -39,22 +39,22 @@
   return members;
 }
 
-/// Members of the client's region; where it has none, of the home regions, else
-/// all.
-Members Eligible(const std::vector<FleetMember>& fleet,
-                 const DirectoryQuery& query) {
+/// Returns the members of the client's region; if it has none, those of the
+/// home regions; if these have none either, all members.
+Members EligibleMembers(const std::vector<FleetMember>& fleet,
+                        const DirectoryQuery& query) {
   const auto& homes = query.m_home_regions;
-  const MemberTest tests[] = {[&](const FleetMember& member) {
-                                return member.m_region == query.m_region;
-                              },
-                              [&](const FleetMember& member) {
-                                return std::find(homes.begin(), homes.end(),
-                                                 member.m_region) !=
-                                       homes.end();
-                              },
-                              [](const FleetMember&) { return true; }};
-  for (const MemberTest& test : tests) {
-    Members members = Matching(fleet, test);
+  const MemberPredicate tests[] = {
+      [&](const FleetMember& member) {
+        return member.m_region == query.m_region;
+      },
+      [&](const FleetMember& member) {
+        return std::find(homes.begin(), homes.end(), member.m_region) !=
+               homes.end();
+      },
+      [](const FleetMember&) { return true; }};
+  for (const MemberPredicate& test : tests) {
+    Members members = FilterMembers(fleet, test);
     if (!members.empty()) {
       return members;
     }
@@ -62,47 +62,48 @@
   return {};
 }
 
-/// How much of the load the VM can carry; 1 for the smallest, and where it is
-/// not known.
-double WeightOf(const VmCapacity& capacity) {
+/// Capacity in multiples of the smallest VM size, limited by the scarcer of
+/// processor and link; 1 if the capacity is unknown.
+double CapacityWeight(const VmCapacity& capacity) {
   if (capacity.m_cores <= 0 || capacity.m_link_mbps <= 0) {
     return 1;
   }
-  return std::min(capacity.m_cores / kUnitCores,
-                  capacity.m_link_mbps / kUnitMbps);
+  return std::min(capacity.m_cores / kSmallestVmCores,
+                  capacity.m_link_mbps / kSmallestVmLinkMbps);
 }
 
-/// Those of the own domain first, and the larger ones of each; of a large
-/// domain a part is enough. The order among VMs of one size is by hash, the
-/// same in every VM that is asked: one VM more or less changes one address.
-Members OwnAndLargestFirst(const Members& members,
-                           const std::string& own_domain) {
-  using Place = std::tuple<bool, double, uint64_t, const FleetMember*>;
-  std::vector<Place> places;
-  places.reserve(members.size());
+/// Selects members of the client's own domain first, larger VMs before smaller
+/// ones; of a large domain only a part. VMs of equal size are ordered by a hash
+/// of their name, which is the same on every VM that is asked: adding or
+/// removing one VM changes one address.
+Members SelectOwnDomainAndLargest(const Members& members,
+                                  const std::string& own_domain) {
+  using RankedMember = std::tuple<bool, double, uint64_t, const FleetMember*>;
+  std::vector<RankedMember> ranked;
+  ranked.reserve(members.size());
   double own_weight = 0;
   size_t own_count = 0;
   for (const FleetMember* member : members) {
-    const bool is_elsewhere = member->m_failure_domain != own_domain;
-    const double weight = WeightOf(member->m_capacity);
-    own_weight += is_elsewhere ? 0 : weight;
-    own_count += is_elsewhere ? 0 : 1;
-    places.emplace_back(is_elsewhere, -weight,
+    const bool is_other_domain = member->m_failure_domain != own_domain;
+    const double weight = CapacityWeight(member->m_capacity);
+    own_weight += is_other_domain ? 0 : weight;
+    own_count += is_other_domain ? 0 : 1;
+    ranked.emplace_back(is_other_domain, -weight,
                         XXH3_64bits(member->m_vm.data(), member->m_vm.size()),
                         member);
   }
-  std::sort(places.begin(), places.end());
-  const double wanted = own_weight * kCarryingPart;
+  std::sort(ranked.begin(), ranked.end());
+  const double target_weight = own_weight * kTargetCapacityShare;
   Members chosen;
-  double carried = 0;
-  for (const auto& [is_elsewhere, minus_weight, hash, member] : places) {
-    const bool is_enough = own_count >= kLargeDomain &&
-                           chosen.size() >= kLeastAddresses &&
-                           carried >= wanted;
-    if (is_enough || chosen.size() == kMostDirectoryAddresses) {
+  double chosen_weight = 0;
+  for (const auto& [is_other_domain, negative_weight, hash, member] : ranked) {
+    const bool is_enough = own_count >= kLargeDomainVms &&
+                           chosen.size() >= kMinAddresses &&
+                           chosen_weight >= target_weight;
+    if (is_enough || chosen.size() == kMaxDirectoryAddresses) {
       break;
     }
-    carried -= minus_weight;
+    chosen_weight -= negative_weight;
     chosen.push_back(member);
   }
   return chosen;
@@ -113,9 +114,9 @@
 std::vector<const FleetMember*> ChooseClientVms(
     const std::vector<FleetMember>& fleet,
     const DirectoryQuery& query) {
-  const Members members = Eligible(fleet, query);
-  return members.size() > kMostDirectoryAddresses
-             ? OwnAndLargestFirst(members, query.m_failure_domain)
+  const Members members = EligibleMembers(fleet, query);
+  return members.size() > kMaxDirectoryAddresses
+             ? SelectOwnDomainAndLargest(members, query.m_failure_domain)
              : members;
 }
 
--- a/src/proxy/directory_func.h
+++ b/src/proxy/directory_func.h
@@ -1,4 +1,4 @@
-/// @file directory_func.h Which entry VMs a client is told to use.
+/// @file directory_func.h Selection of the entry VMs that a client should use.
 
 #ifndef SORRELPLANK_PROXY_DIRECTORY_FUNC_H_
 #define SORRELPLANK_PROXY_DIRECTORY_FUNC_H_
@@ -10,26 +10,26 @@
 
 namespace sorrelplank {
 
-/// Where a client asks from, and what binds the answer.
+/// Location of a client and the constraints on the answer.
 struct DirectoryQuery {
   std::string m_region;
   std::string m_failure_domain;
-  /// Regions that may take the bodies of requests of the host, beside the
-  /// client's own; empty: all.
+  /// Regions other than the client's own that may receive the bodies of
+  /// requests for the host; empty means all regions.
   std::vector<std::string> m_home_regions;
 };
 
-/// Most addresses in one answer.
-inline constexpr size_t kMostDirectoryAddresses = 64;
+/// Maximum number of addresses in one answer.
+inline constexpr size_t kMaxDirectoryAddresses = 64;
 
-/// The entry VMs of the client's region; where it has none, those of the home
-/// regions, else all. Where they are too many for one answer, those of the
-/// client's failure domain first; of a large domain, its largest VMs.
+/// Returns the entry VMs of the client's region; if it has none, those of the
+/// home regions; otherwise all. If they are too many for one answer, VMs of the
+/// client's failure domain come first; of a large domain, its largest VMs.
 std::vector<const FleetMember*> ChooseClientVms(
     const std::vector<FleetMember>& fleet,
     const DirectoryQuery& query);
 
-/// Their client addresses.
+/// Returns the client addresses of the VMs that ChooseClientVms selects.
 std::vector<std::string> ChooseAddresses(const std::vector<FleetMember>& fleet,
                                          const DirectoryQuery& query);
 
--- a/src/proxy/edge_settings.cc
+++ b/src/proxy/edge_settings.cc
@@ -1,4 +1,4 @@
-/// @file edge_settings.cc Reading of the JSON settings file.
+/// @file edge_settings.cc Parsing of the JSON settings file.
 
 #include <nlohmann/json.hpp>
 
@@ -11,10 +11,13 @@
 
 using nlohmann::json;
 
-/// Reads fields and collects what is wrong with them.
-class Reader {
+/// Reads typed fields of a JSON object and collects validation errors.
+class SettingsReader {
  public:
-  Reader(const json& object, std::string file, std::string path, Faults& faults)
+  SettingsReader(const json& object,
+                 std::string file,
+                 std::string path,
+                 Faults& faults)
       : m_object(object),
         m_file(std::move(file)),
         m_path(std::move(path)),
@@ -26,7 +29,7 @@
     const json* value = Find(key);
     if (value == nullptr || !value->is_string() ||
         value->get<std::string>().empty()) {
-      AddFault(key, value, "a text that is not empty");
+      AddFault(key, value, "a non-empty string");
       return "";
     }
     return value->get<std::string>();
@@ -44,37 +47,37 @@
     return address;
   }
 
-  double Number(const char* key, double least, double most) const {
+  double Number(const char* key, double min_value, double max_value) const {
     const json* value = Find(key);
     const bool is_in_range = value != nullptr && value->is_number() &&
-                             value->get<double>() >= least &&
-                             value->get<double>() <= most;
+                             value->get<double>() >= min_value &&
+                             value->get<double>() <= max_value;
     if (!is_in_range) {
       AddFault(key, value,
-               "a number from " + std::to_string(least) + " to " +
-                   std::to_string(most));
-      return least;
+               "a number from " + std::to_string(min_value) + " to " +
+                   std::to_string(max_value));
+      return min_value;
     }
     return value->get<double>();
   }
 
-  Duration Seconds(const char* key, double most) const {
+  Duration Seconds(const char* key, double max_value) const {
     return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>(Number(key, 0, most)));
+        std::chrono::duration<double>(Number(key, 0, max_value)));
   }
 
-  std::map<std::string, std::string> Texts(const char* key) const {
+  std::map<std::string, std::string> TextMap(const char* key) const {
     std::map<std::string, std::string> texts;
     const json* value = Find(key);
     if (value == nullptr || !value->is_object() || value->empty()) {
-      AddFault(key, value, "an object of texts that is not empty");
+      AddFault(key, value, "a non-empty object of strings");
       return texts;
     }
     for (const auto& [name, text] : value->items()) {
       if (text.is_string()) {
         texts[name] = text.get<std::string>();
       } else {
-        AddFault(key, value, "an object of texts");
+        AddFault(key, value, "an object of strings");
       }
     }
     return texts;
@@ -99,44 +102,44 @@
   Faults& m_faults;
 };
 
-/// Bounds on settings; wide, they only catch a wrong unit.
-constexpr double kMostSeconds = 600;
-constexpr double kMostCount = 1e6;
+/// Upper bounds of settings. They are wide and only catch a wrong unit.
+constexpr double kMaxSeconds = 600;
+constexpr double kMaxCount = 1e6;
 
-/// Left out where a deployment has no quotas.
-QuotaBounds ReadQuotas(const Reader& reader) {
+/// These settings are absent in a deployment without quotas.
+QuotaBounds ReadQuotas(const SettingsReader& reader) {
   QuotaBounds bounds;
   if (reader.Has("quota_window_s")) {
-    bounds.m_window = reader.Seconds("quota_window_s", kMostSeconds);
-    bounds.m_excess = reader.Number("quota_excess", 0, kMostCount);
-    bounds.m_slack = reader.Number("quota_slack", 0, kMostCount);
+    bounds.m_window = reader.Seconds("quota_window_s", kMaxSeconds);
+    bounds.m_excess = reader.Number("quota_excess", 0, kMaxCount);
+    bounds.m_slack = reader.Number("quota_slack", 0, kMaxCount);
   }
   return bounds;
 }
 
-/// Left out where the VM's size is not known.
-VmCapacity ReadCapacity(const Reader& reader) {
+/// These settings are absent if the size of the VM is unknown.
+VmCapacity ReadCapacity(const SettingsReader& reader) {
   VmCapacity capacity;
   if (reader.Has("cpu_share")) {
-    // Cores may be faster than the usual ones.
-    capacity.m_cores = reader.Number("cpu_share", 0, kMostCount) *
-                       reader.Number("cpu_speed", 0, kMostCount);
-    capacity.m_link_mbps = reader.Number("link_mbps", 0, kMostCount);
+    // Normalise to cores of standard speed: those of this VM may be faster.
+    capacity.m_cores = reader.Number("cpu_share", 0, kMaxCount) *
+                       reader.Number("cpu_speed", 0, kMaxCount);
+    capacity.m_link_mbps = reader.Number("link_mbps", 0, kMaxCount);
   }
   return capacity;
 }
 
-SteeringSettings ReadSteering(const Reader& reader) {
+SteeringSettings ReadSteering(const SettingsReader& reader) {
   return SteeringSettings{
       .m_vm = reader.Text("vm"),
       .m_failure_domain = reader.Text("failure_domain"),
       .m_region = reader.Text("region"),
-      .m_regions = reader.Texts("failure_domains"),
+      .m_regions = reader.TextMap("failure_domains"),
       .m_retry_ratio = reader.Number("retry_ratio", 0, 1),
-      .m_retry_extra = reader.Number("retry_extra", 0, kMostCount),
-      .m_retry_window = reader.Seconds("retry_window_s", kMostSeconds),
-      .m_cold_factor = reader.Number("cold_factor", 0, kMostCount),
-      .m_cold_slack = reader.Number("cold_slack", 0, kMostCount),
+      .m_retry_extra = reader.Number("retry_extra", 0, kMaxCount),
+      .m_retry_window = reader.Seconds("retry_window_s", kMaxSeconds),
+      .m_cold_factor = reader.Number("cold_factor", 0, kMaxCount),
+      .m_cold_slack = reader.Number("cold_slack", 0, kMaxCount),
       .m_most_shift = reader.Number("most_shift", 0, 1),
       .m_quotas = ReadQuotas(reader),
   };
@@ -149,12 +152,12 @@
   Faults faults;
   const json object = ParseJson(text, file, faults);
   if (faults.empty() && !object.is_object()) {
-    faults.push_back({file, "/", "", "is no object", "a JSON object"});
+    faults.push_back({file, "/", "", "is not an object", "a JSON object"});
   }
   if (!faults.empty()) {
     return faults;
   }
-  const Reader reader(object, file, "", faults);
+  const SettingsReader reader(object, file, "", faults);
   EdgeSettings settings{
       .m_steering = ReadSteering(reader),
       .m_capacity = ReadCapacity(reader),
@@ -166,11 +169,11 @@
       .m_feed_address = reader.Address("feed_address"),
       .m_quota_address = reader.Address("quota_address"),
       .m_store_address = reader.Address("store_address"),
-      .m_shortest_lease = reader.Seconds("shortest_lease_s", kMostSeconds),
-      .m_longest_ttl = reader.Seconds("longest_ttl_s", kMostSeconds),
-      .m_config_apply = reader.Seconds("config_apply_s", kMostSeconds),
-      .m_drain = reader.Seconds("drain_s", kMostSeconds),
-      .m_stop_grace = reader.Seconds("stop_grace_s", kMostSeconds),
+      .m_shortest_lease = reader.Seconds("shortest_lease_s", kMaxSeconds),
+      .m_longest_ttl = reader.Seconds("longest_ttl_s", kMaxSeconds),
+      .m_config_apply = reader.Seconds("config_apply_s", kMaxSeconds),
+      .m_drain = reader.Seconds("drain_s", kMaxSeconds),
+      .m_stop_grace = reader.Seconds("stop_grace_s", kMaxSeconds),
   };
   const auto& domains = settings.m_steering.m_regions;
   const auto own = domains.find(settings.m_steering.m_failure_domain);
--- a/src/proxy/edge_settings_type.h
+++ b/src/proxy/edge_settings_type.h
@@ -1,4 +1,4 @@
-/// @file edge_settings_type.h Settings of the process that routes requests.
+/// @file edge_settings_type.h Settings of the request routing process.
 
 #ifndef SORRELPLANK_PROXY_EDGE_SETTINGS_TYPE_H_
 #define SORRELPLANK_PROXY_EDGE_SETTINGS_TYPE_H_
@@ -14,41 +14,42 @@
 
 namespace sorrelplank {
 
-/// One field a key of the JSON settings file.
+/// Settings as read from the JSON settings file.
 struct EdgeSettings {
   SteeringSettings m_steering;
   VmCapacity m_capacity{};
-  /// Where clients send requests.
+  /// Listening address for client requests.
   VmAddress m_client_address;
-  /// Where the platform asks whether this VM is ready.
+  /// Listening address for the platform's readiness checks.
   VmAddress m_ready_address;
-  /// Where clients ask which entry VMs to use.
+  /// Listening address for clients that ask which entry VMs to use.
   VmAddress m_directory_address;
   VmAddress m_metrics_address;
-  /// Where entry VMs tell each other of loads, by datagram; the port is the
-  /// same at all of them.
+  /// UDP address on which entry VMs exchange server loads; all of them use the
+  /// same port.
   VmAddress m_exchange_address;
-  /// Where entry VMs ask each other for changes of the store; the port is the
-  /// same at all of them.
+  /// Listening address for entry VMs that request changes of the store from
+  /// this one; all of them use the same port.
   VmAddress m_feed_address;
-  /// Where entry VMs ask each other for tokens of quotas, by datagram; the port
-  /// is the same at all of them.
+  /// UDP address on which entry VMs request quota tokens from each other; all
+  /// of them use the same port.
   VmAddress m_quota_address;
-  /// The platform's store.
+  /// Address of the platform's store.
   VmAddress m_store_address;
-  /// Shortest lifetime of a lease that the store grants.
+  /// Shortest lease lifetime that the store grants.
   Duration m_shortest_lease = seconds(1);
-  /// Longest time that clients keep a directory answer.
+  /// Longest time for which clients cache a directory answer.
   Duration m_longest_ttl = seconds(5);
   /// Time within which a new configuration must be in force.
   Duration m_config_apply = seconds(2);
-  /// Time within which a leaving backend server must be left alone.
+  /// Time within which requests to a leaving backend server must cease.
   Duration m_drain = seconds(2);
-  /// Time from SIGTERM until the process is killed.
+  /// Time between SIGTERM and the forced termination of the process.
   Duration m_stop_grace = seconds(6);
 };
 
-/// Parses a settings text; all faults at once.
+/// Parses the text of a settings file. Returns the settings, or all errors that
+/// were found.
 std::variant<EdgeSettings, Faults> ParseEdgeSettings(const std::string& text,
                                                      const std::string& file);
 
--- a/src/proxy/forwarded_fields.cc
+++ b/src/proxy/forwarded_fields.cc
@@ -1,40 +1,43 @@
-/// @file forwarded_fields.cc Names of fields that stay with a connection.
+/// @file forwarded_fields.cc Classification of header fields by name.
 
 #include <set>
 
 #include "proxy/forwarded_fields_func.h"
-#include "proxy/proxy_names_type.h"
+#include "proxy/proxy_header_names_type.h"
 
 namespace sorrelplank {
 
 namespace {
 
-const std::set<std::string> kConnectionFields = {"connection",
-                                                 "keep-alive",
-                                                 "proxy-authenticate",
-                                                 "proxy-authorization",
-                                                 "proxy-connection",
-                                                 "te",
-                                                 "trailer",
-                                                 "transfer-encoding",
-                                                 "upgrade",
-                                                 "content-length",
-                                                 "expect"};
+/// Besides the hop-by-hop fields: content-length, which the sender of each hop
+/// writes anew, and expect, which only concerns the client's connection.
+const std::set<std::string> kHopByHopFields = {"connection",
+                                               "keep-alive",
+                                               "proxy-authenticate",
+                                               "proxy-authorization",
+                                               "proxy-connection",
+                                               "te",
+                                               "trailer",
+                                               "transfer-encoding",
+                                               "upgrade",
+                                               "content-length",
+                                               "expect"};
 
 }  // namespace
 
-bool IsConnectionField(const std::string& name) {
-  return kConnectionFields.contains(name);
+bool IsHopByHopField(const std::string& name) {
+  return kHopByHopFields.contains(name);
 }
 
-bool IsAboutCaller(const std::string& name, const ProxyNames& names) {
+bool IsCallerIdentityField(const std::string& name,
+                           const ProxyHeaderNames& names) {
   return name == names.m_credentials || name == names.m_organisation;
 }
 
-bool IsPassedOn(const std::string& name, const ProxyNames& names) {
-  const bool is_ours =
+bool IsForwardedField(const std::string& name, const ProxyHeaderNames& names) {
+  const bool is_set_by_proxy =
       name == names.m_deadline_ms || name == names.m_expected_instance;
-  return !is_ours && !IsConnectionField(name);
+  return !is_set_by_proxy && !IsHopByHopField(name);
 }
 
 }  // namespace sorrelplank
--- a/src/proxy/forwarded_fields_func.h
+++ b/src/proxy/forwarded_fields_func.h
@@ -1,4 +1,4 @@
-/// @file forwarded_fields_func.h Header fields that backend servers get.
+/// @file forwarded_fields_func.h Which header fields are forwarded to servers.
 
 #ifndef SORRELPLANK_PROXY_FORWARDED_FIELDS_FUNC_H_
 #define SORRELPLANK_PROXY_FORWARDED_FIELDS_FUNC_H_
@@ -7,17 +7,19 @@
 
 namespace sorrelplank {
 
-struct ProxyNames;
+struct ProxyHeaderNames;
 
-/// Whether a field concerns one connection only. Names are in lower case.
-bool IsConnectionField(const std::string& name);
+/// Whether a field applies to a single connection and must not be forwarded.
+/// Names are in lower case.
+bool IsHopByHopField(const std::string& name);
 
-/// Whether a field says who asks: credentials, or an organisation.
-bool IsAboutCaller(const std::string& name, const ProxyNames& names);
+/// Whether a field identifies the caller: credentials or an organisation.
+bool IsCallerIdentityField(const std::string& name,
+                           const ProxyHeaderNames& names);
 
-/// Whether a client's field is passed on as it came: not those of its
-/// connection, nor those that this VM sets itself.
-bool IsPassedOn(const std::string& name, const ProxyNames& names);
+/// Whether a client's field is forwarded unchanged: neither a hop-by-hop field
+/// nor one that this VM sets itself.
+bool IsForwardedField(const std::string& name, const ProxyHeaderNames& names);
 
 }  // namespace sorrelplank
 
--- a/src/proxy/load_exchange.cc
+++ b/src/proxy/load_exchange.cc
@@ -1,4 +1,4 @@
-/// @file load_exchange.cc Datagrams of loads.
+/// @file load_exchange.cc Encoding and sending of load datagrams.
 
 #include "proxy/load_exchange.h"
 
@@ -12,22 +12,23 @@
 
 namespace {
 
-/// Datagrams to all peers in a second. At a hundred bytes each they are 12
-/// KB/s, what control may cost a VM.
-constexpr int kMostPerSecond = 120;
-/// Loads are told this often at the most: half of the time that a slot is taken
-/// for a usual request.
-constexpr Duration kShortestInterval = milliseconds(60);
-/// And at the least, with so many peers that some are told only the next time.
-constexpr Duration kLongestInterval = milliseconds(250);
-/// Loads in one datagram, which then fits a usual packet of 1,500 bytes.
-constexpr size_t kMostLoads = 120;
+/// Rate limit over all peers. At about a hundred bytes per datagram it amounts
+/// to 12 KB/s, the bandwidth that control traffic of a VM may use.
+constexpr int kMaxDatagramsPerSecond = 120;
+/// Minimum time between two broadcasts: half of the time for which a typical
+/// request occupies a slot.
+constexpr Duration kMinSendInterval = milliseconds(60);
+/// Maximum time between two broadcasts, also with so many peers that some of
+/// them have to wait for the next one.
+constexpr Duration kMaxSendInterval = milliseconds(250);
+/// Keeps a datagram within the usual packet size of 1,500 bytes.
+constexpr size_t kMaxLoadsPerDatagram = 120;
 
 }  // namespace
 
 std::string EncodeLoads(const std::vector<ServerLoad>& loads) {
   proto::ServerLoads message;
-  for (size_t at = 0; at < std::min(loads.size(), kMostLoads); ++at) {
+  for (size_t at = 0; at < std::min(loads.size(), kMaxLoadsPerDatagram); ++at) {
     const ServerLoad& load = loads[at];
     message.add_server(load.m_server.Get());
     message.add_running(load.m_load.m_running);
@@ -63,31 +64,33 @@
                            LoadsHandler handler)
     : m_handler(std::move(handler)),
       m_socket(io, own, [this](const char* bytes, size_t length, VmAddress) {
-        return Take(bytes, length);
+        return HandleDatagram(bytes, length);
       }) {}
 
 bool LoadExchange::IsDue(TimePoint now) const {
-  const auto at_the_bound =
+  const auto rate_limited_interval =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-          static_cast<double>(m_peers.size()) / kMostPerSecond));
-  return now - m_told >= std::clamp<Duration>(at_the_bound, kShortestInterval,
-                                              kLongestInterval);
+          static_cast<double>(m_peers.size()) / kMaxDatagramsPerSecond));
+  return now - m_last_sent >= std::clamp<Duration>(rate_limited_interval,
+                                                   kMinSendInterval,
+                                                   kMaxSendInterval);
 }
 
-void LoadExchange::Tell(const std::vector<ServerLoad>& loads, TimePoint now) {
-  m_told = now;
+void LoadExchange::SendLoads(const std::vector<ServerLoad>& loads,
+                             TimePoint now) {
+  m_last_sent = now;
   if (loads.empty() || m_peers.empty()) {
     return;
   }
   const std::string bytes = EncodeLoads(loads);
-  const size_t count = std::min(m_peers.size(), kMostLoadPeers);
+  const size_t count = std::min(m_peers.size(), kMaxLoadPeers);
   for (size_t sent = 0; sent < count; ++sent) {
-    // What is not sent is not missed: the next datagram tells something newer.
+    // A failed send needs no retry: the next datagram has newer loads.
     m_socket.Send(bytes, m_peers[m_next_peer++ % m_peers.size()]);
   }
 }
 
-bool LoadExchange::Take(const char* bytes, size_t length) {
+bool LoadExchange::HandleDatagram(const char* bytes, size_t length) {
   const auto loads = DecodeLoads(bytes, length);
   if (loads.empty()) {
     return false;
--- a/src/proxy/load_exchange.h
+++ b/src/proxy/load_exchange.h
@@ -1,4 +1,4 @@
-/// @file load_exchange.h Tells the entry VMs of the region of servers' loads.
+/// @file load_exchange.h Exchange of server loads between entry VMs.
 
 #ifndef SORRELPLANK_PROXY_LOAD_EXCHANGE_H_
 #define SORRELPLANK_PROXY_LOAD_EXCHANGE_H_
@@ -15,42 +15,45 @@
 
 namespace sorrelplank {
 
-/// The bytes of a datagram with loads.
+/// Serialises loads into a datagram; excess loads are left out.
 std::string EncodeLoads(const std::vector<ServerLoad>& loads);
 
-/// Reads a datagram; nothing where it is malformed.
+/// Parses a datagram; returns an empty vector if it is malformed.
 std::vector<ServerLoad> DecodeLoads(const char* bytes, size_t length);
 
-/// Sends and receives loads by datagram.
+/// Sends and receives server loads as UDP datagrams.
 ///
-/// A VM meets each server only now and then, in large fleets every few seconds,
-/// and would know its load from long ago, while it serves other VMs. Each VM
-/// tells the reports that it received to others, as often as the bound on bytes
-/// allows. A datagram that is lost is not missed: the next one is newer.
-/// Nothing that must be right rests on it.
+/// In a large fleet a VM sends to a given server only every few seconds, and
+/// its view of the server's load would be outdated, while other VMs keep that
+/// server busy. Each VM therefore shares the load reports that it received, as
+/// often as the bandwidth limit allows. Lost datagrams are not repeated, since
+/// the next one is newer. Correctness must not depend on these loads.
 class LoadExchange {
  public:
-  /// Takes the loads that another VM tells.
+  /// Receives the loads reported by another VM.
   using LoadsHandler = std::function<void(const std::vector<ServerLoad>&)>;
 
-  /// Listens at once; throws std::system_error where it cannot.
+  /// Binds the socket and starts receiving; throws std::system_error on
+  /// failure.
   LoadExchange(asio::io_context& io, VmAddress own, LoadsHandler handler);
 
   void SetPeers(std::vector<VmAddress> peers) { m_peers = std::move(peers); }
 
-  /// Whether it is time to tell.
+  /// Whether the next broadcast is due.
   bool IsDue(TimePoint now) const;
-  void Tell(const std::vector<ServerLoad>& loads, TimePoint now);
+  /// Sends the loads to the peers. With more than kMaxLoadPeers, the next ones
+  /// in turn are served.
+  void SendLoads(const std::vector<ServerLoad>& loads, TimePoint now);
 
   const DatagramSocket& Socket() const { return m_socket; }
 
  private:
-  bool Take(const char* bytes, size_t length);
+  bool HandleDatagram(const char* bytes, size_t length);
 
   LoadsHandler m_handler;
   std::vector<VmAddress> m_peers;
   size_t m_next_peer = 0;
-  TimePoint m_told{};
+  TimePoint m_last_sent{};
   DatagramSocket m_socket;
 };
 
--- a/src/proxy/load_peers.cc
+++ b/src/proxy/load_peers.cc
@@ -1,4 +1,4 @@
-/// @file load_peers.cc Choice of the VMs that are told loads.
+/// @file load_peers.cc Selection of the VMs that receive load datagrams.
 
 #include <map>
 #include <set>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// VMs that clients of the region are sent to.
+/// Returns the VMs to which the directory sends clients of the region.
 std::vector<const FleetMember*> ClientVmsOf(
     const std::string& region,
     const std::vector<FleetMember>& fleet) {
@@ -44,7 +44,7 @@
                                        uint16_t port) {
   std::vector<const FleetMember*> members;
   members.reserve(fleet.size());
-  if (fleet.size() <= kMostLoadPeers + 1) {
+  if (fleet.size() <= kMaxLoadPeers + 1) {
     for (const FleetMember& member : fleet) {
       members.push_back(&member);
     }
--- a/src/proxy/load_peers_func.h
+++ b/src/proxy/load_peers_func.h
@@ -1,4 +1,4 @@
-/// @file load_peers_func.h Which entry VMs are told the loads of servers.
+/// @file load_peers_func.h Selection of the peers for the load exchange.
 
 #ifndef SORRELPLANK_PROXY_LOAD_PEERS_FUNC_H_
 #define SORRELPLANK_PROXY_LOAD_PEERS_FUNC_H_
@@ -12,12 +12,14 @@
 
 namespace sorrelplank {
 
-/// Peers with which loads are told every 250 ms within the bound on bytes.
-constexpr size_t kMostLoadPeers = 30;
+/// Number of peers that can receive loads every 250 ms within the bandwidth
+/// limit of the load exchange.
+constexpr size_t kMaxLoadPeers = 30;
 
-/// Addresses at which peers take loads, on the given port. All other VMs where
-/// they are few: a region with few servers sends to those of others. In larger
-/// fleets those of the own region, which send to the same servers most often.
+/// Returns the addresses of the peers that receive loads, with the given port.
+/// In a small fleet these are all other VMs, since a region with few servers
+/// sends requests to the servers of other regions. In a larger fleet they are
+/// the VMs of the own region, which mostly share its servers.
 std::vector<VmAddress> ChooseLoadPeers(const std::vector<FleetMember>& fleet,
                                        const FleetMember& own,
                                        uint16_t port);
--- a/src/proxy/proxy_metrics.cc
+++ b/src/proxy/proxy_metrics.cc
@@ -1,4 +1,4 @@
-/// @file proxy_metrics.cc Families of metrics and their text.
+/// @file proxy_metrics.cc Registration and export of metrics.
 
 #include "proxy/proxy_metrics.h"
 
@@ -14,7 +14,7 @@
 
 namespace prom = prometheus;
 
-const prom::Histogram::BucketBoundaries kSecondsBuckets{
+const prom::Histogram::BucketBoundaries kLatencyBuckets{
     0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.8, 1.2, 2, 4, 8};
 
 }  // namespace
@@ -73,8 +73,8 @@
 
 ProxyMetrics::~ProxyMetrics() = default;
 
-void ProxyMetrics::CountAnswer(const std::string& outcome, Duration time) {
-  m_impl->m_answers.Add({{"outcome", outcome}}, kSecondsBuckets)
+void ProxyMetrics::CountResponse(const std::string& outcome, Duration time) {
+  m_impl->m_answers.Add({{"outcome", outcome}}, kLatencyBuckets)
       .Observe(ToMilliseconds(time) / 1000);
 }
 
@@ -84,7 +84,7 @@
 }
 
 void ProxyMetrics::CountAttempt(const char* end, Duration time) {
-  m_impl->m_attempts.Add({{"end", end}}, kSecondsBuckets)
+  m_impl->m_attempts.Add({{"end", end}}, kLatencyBuckets)
       .Observe(ToMilliseconds(time) / 1000);
 }
 
--- a/src/proxy/proxy_metrics.h
+++ b/src/proxy/proxy_metrics.h
@@ -1,4 +1,4 @@
-/// @file proxy_metrics.h Counters and histograms of the routed path.
+/// @file proxy_metrics.h Prometheus metrics of request routing.
 
 #ifndef SORRELPLANK_PROXY_PROXY_METRICS_H_
 #define SORRELPLANK_PROXY_PROXY_METRICS_H_
@@ -11,9 +11,9 @@
 
 namespace sorrelplank {
 
-/// Gauges that are read when the metrics are asked for.
+/// Gauge values, sampled for each scrape.
 struct ProxyGauges {
-  /// Datagrams from and to other VMs.
+  /// Counts of datagrams exchanged with other VMs.
   struct Datagrams {
     double m_received = 0;
     double m_malformed = 0;
@@ -27,24 +27,24 @@
   double m_store_age_s = 0;
   double m_connections_opened = 0;
   double m_log_lines_dropped = 0;
-  /// Calls to the store, by kind.
+  /// Total calls to the store, by kind.
   std::map<std::string, double> m_store_calls;
-  /// 1 while this VM watches the store itself, 0 while it asks a relay.
+  /// 1 while this VM watches the store directly, 0 while it uses a relay.
   double m_watches_store = 0;
-  /// Other VMs that wait here for changes of the store.
+  /// Other VMs that wait for changes of the store at this one.
   double m_feed_followers = 0;
-  /// Requests that servers ended under, those of them that are held back, and
-  /// what of that the store has yet to be told.
+  /// Requests suspected of crashing servers, those of them that are held back,
+  /// and crash records not yet written to the store.
   double m_suspected_requests = 0;
   double m_held_requests = 0;
   double m_crash_notes_waiting = 0;
-  /// Requests held for a token of their organisation's quota, and
-  /// organisations whose quota this VM keeps.
+  /// Requests that wait for a token of their organisation's quota, and quotas
+  /// for which this VM grants tokens.
   double m_awaiting_tokens = 0;
   double m_quotas_kept = 0;
-  /// Servers that name a limit on their requests, that want none for a while,
-  /// requests held for a token of a limit, and limits whose tokens this VM
-  /// grants.
+  /// Servers with a rate limit of their own, servers that asked for a pause,
+  /// requests that wait for a token of a server's limit, and server limits for
+  /// which this VM grants tokens.
   double m_limited_servers = 0;
   double m_paused_servers = 0;
   double m_awaiting_server_tokens = 0;
@@ -53,20 +53,21 @@
   Datagrams m_quota_messages;
 };
 
-/// What is counted, by prometheus-cpp.
+/// Metrics of the routing process, collected with prometheus-cpp.
 class ProxyMetrics {
  public:
   explicit ProxyMetrics(const std::string& vm);
   ~ProxyMetrics();
 
-  /// A request was answered; outcome: "forwarded" or a refusal's name.
-  void CountAnswer(const std::string& outcome, Duration time);
-  /// A request was sent to a backend server of the region.
+  /// Records the response to a client. The outcome is "forwarded", "malformed",
+  /// "client_left" or the name of a refusal.
+  void CountResponse(const std::string& outcome, Duration time);
+  /// Counts a request sent to a backend server of the region.
   void CountSend(const std::string& service, const std::string& region);
-  /// A send ended.
+  /// Records the end of one send and its duration.
   void CountAttempt(const char* end, Duration time);
 
-  /// The text that is served.
+  /// Returns all metrics in the Prometheus text format.
   std::string ToText(const ProxyGauges& gauges);
 
  private:
--- a/src/proxy/quota_exchange.cc
+++ b/src/proxy/quota_exchange.cc
@@ -1,4 +1,4 @@
-/// @file quota_exchange.cc Datagrams of quotas.
+/// @file quota_exchange.cc Encoding and sending of quota datagrams.
 
 #include "proxy/quota_exchange.h"
 
@@ -12,19 +12,19 @@
 
 namespace {
 
-/// Tokens in one question; a larger number was not written by an entry VM.
-constexpr uint32_t kMostTokens = 100'000;
+/// Plausibility limit: entry VMs never request or grant more at once.
+constexpr uint32_t kMaxTokensPerRequest = 100'000;
 
-void Fill(const QuotaAsk& ask, proto::QuotaMessage& message) {
+void Fill(const QuotaAsk& request, proto::QuotaMessage& message) {
   proto::QuotaQuestion& question = *message.mutable_question();
-  question.set_subject(ask.m_subject.Get());
-  question.set_number(ask.m_number);
-  question.set_tokens(ask.m_tokens);
-  if (ask.m_limit) {
+  question.set_subject(request.m_subject.Get());
+  question.set_number(request.m_number);
+  question.set_tokens(request.m_tokens);
+  if (request.m_limit) {
     proto::ServerLimit& limit = *question.mutable_limit();
-    limit.set_per_second(ask.m_limit->m_per_second);
+    limit.set_per_second(request.m_limit->m_per_second);
     limit.set_age_ms(
-        static_cast<uint32_t>(ask.m_limit->m_age / milliseconds(1)));
+        static_cast<uint32_t>(request.m_limit->m_age / milliseconds(1)));
   }
 }
 
@@ -55,22 +55,22 @@
   if (message.has_question()) {
     const proto::QuotaQuestion& question = message.question();
     const double per_second = question.limit().per_second();
-    if (question.tokens() > kMostTokens || !std::isfinite(per_second) ||
-        per_second < 0) {
+    if (question.tokens() > kMaxTokensPerRequest ||
+        !std::isfinite(per_second) || per_second < 0) {
       return std::nullopt;
     }
-    QuotaAsk ask{.m_subject = QuotaSubject(question.subject()),
-                 .m_number = question.number(),
-                 .m_tokens = question.tokens(),
-                 .m_limit = std::nullopt};
+    QuotaAsk request{.m_subject = QuotaSubject(question.subject()),
+                     .m_number = question.number(),
+                     .m_tokens = question.tokens(),
+                     .m_limit = std::nullopt};
     if (question.has_limit()) {
-      ask.m_limit =
+      request.m_limit =
           NamedLimit{per_second, milliseconds(question.limit().age_ms())};
     }
-    return ask;
+    return request;
   }
   const proto::QuotaAnswer& answer = message.answer();
-  if (!message.has_answer() || answer.tokens() > kMostTokens) {
+  if (!message.has_answer() || answer.tokens() > kMaxTokensPerRequest) {
     return std::nullopt;
   }
   return QuotaGrant{.m_subject = QuotaSubject(answer.subject()),
@@ -82,15 +82,15 @@
 
 QuotaExchange::QuotaExchange(asio::io_context& io,
                              VmAddress own,
-                             Answerer answerer,
-                             GrantHandler handler)
+                             RequestHandler request_handler,
+                             GrantHandler grant_handler)
     : m_own(own),
-      m_answerer(std::move(answerer)),
-      m_handler(std::move(handler)),
+      m_request_handler(std::move(request_handler)),
+      m_grant_handler(std::move(grant_handler)),
       m_socket(io,
                own,
                [this](const char* bytes, size_t length, VmAddress sender) {
-                 return Take(bytes, length, sender);
+                 return HandleDatagram(bytes, length, sender);
                }) {}
 
 void QuotaExchange::SetFleet(const std::vector<FleetMember>& fleet) {
@@ -104,22 +104,24 @@
   }
 }
 
-void QuotaExchange::Ask(const QuotaQuestion& question) {
+void QuotaExchange::SendRequest(const QuotaQuestion& question) {
   const auto address = m_addresses.find(question.m_keeper);
   if (address != m_addresses.end()) {
     m_socket.Send(EncodeQuotaMessage(question.m_ask), address->second);
   }
 }
 
-bool QuotaExchange::Take(const char* bytes, size_t length, VmAddress sender) {
+bool QuotaExchange::HandleDatagram(const char* bytes,
+                                   size_t length,
+                                   VmAddress sender) {
   const auto message = DecodeQuotaMessage(bytes, length);
   if (!message) {
     return false;
   }
-  if (const auto* ask = std::get_if<QuotaAsk>(&*message)) {
-    m_socket.Send(EncodeQuotaMessage(m_answerer(*ask)), sender);
+  if (const auto* request = std::get_if<QuotaAsk>(&*message)) {
+    m_socket.Send(EncodeQuotaMessage(m_request_handler(*request)), sender);
   } else {
-    m_handler(std::get<QuotaGrant>(*message));
+    m_grant_handler(std::get<QuotaGrant>(*message));
   }
   return true;
 }
--- a/src/proxy/quota_exchange.h
+++ b/src/proxy/quota_exchange.h
@@ -1,4 +1,4 @@
-/// @file quota_exchange.h Carries questions and answers on quotas.
+/// @file quota_exchange.h Quota requests and grants between entry VMs.
 
 #ifndef SORRELPLANK_PROXY_QUOTA_EXCHANGE_H_
 #define SORRELPLANK_PROXY_QUOTA_EXCHANGE_H_
@@ -20,38 +20,42 @@
 
 using QuotaMessage = std::variant<QuotaAsk, QuotaGrant>;
 
-/// The bytes of a datagram.
+/// Serialises a message into a datagram.
 std::string EncodeQuotaMessage(const QuotaMessage& message);
 
-/// Reads a datagram; nothing where it is malformed.
+/// Parses a datagram; returns std::nullopt if it is malformed.
 std::optional<QuotaMessage> DecodeQuotaMessage(const char* bytes,
                                                size_t length);
 
-/// Asks keepers of quotas by datagram, and answers as a keeper. What is lost is
-/// asked again at another keeper; a lost answer wastes its tokens.
+/// Requests tokens from the keepers of quotas by UDP, and answers requests as a
+/// keeper. A lost request is repeated at another keeper; the tokens of a lost
+/// grant go unused.
 class QuotaExchange {
  public:
-  using Answerer = std::function<QuotaGrant(const QuotaAsk&)>;
+  using RequestHandler = std::function<QuotaGrant(const QuotaAsk&)>;
   using GrantHandler = std::function<void(const QuotaGrant&)>;
 
-  /// Listens at once; throws std::system_error where it cannot.
+  /// Binds the socket and starts receiving; throws std::system_error on
+  /// failure.
   QuotaExchange(asio::io_context& io,
                 VmAddress own,
-                Answerer answerer,
-                GrantHandler handler);
+                RequestHandler request_handler,
+                GrantHandler grant_handler);
 
-  /// Addresses of entry VMs by name; their port for quotas is the own one.
+  /// Sets the entry VMs by name. All VMs use the same port for quotas, that of
+  /// this VM.
   void SetFleet(const std::vector<FleetMember>& fleet);
-  void Ask(const QuotaQuestion& question);
+  /// Sends the request to its keeper; drops it if the keeper is unknown.
+  void SendRequest(const QuotaQuestion& question);
 
   const DatagramSocket& Socket() const { return m_socket; }
 
  private:
-  bool Take(const char* bytes, size_t length, VmAddress sender);
+  bool HandleDatagram(const char* bytes, size_t length, VmAddress sender);
 
   VmAddress m_own;
-  Answerer m_answerer;
-  GrantHandler m_handler;
+  RequestHandler m_request_handler;
+  GrantHandler m_grant_handler;
   std::map<std::string, VmAddress> m_addresses;
   DatagramSocket m_socket;
 };
--- a/src/proxy/reply_judge.cc
+++ b/src/proxy/reply_classifier.cc
@@ -1,10 +1,10 @@
-/// @file reply_judge.cc Only a server's own word proves "not run".
+/// @file reply_classifier.cc Classification of server replies.
 
 #include <charconv>
 #include <vector>
 
-#include "proxy/proxy_names_type.h"
-#include "proxy/reply_judge_func.h"
+#include "proxy/proxy_header_names_type.h"
+#include "proxy/reply_classifier_func.h"
 #include "proxy/server_notice_func.h"
 #include "proxy/server_reply_type.h"
 
@@ -12,13 +12,14 @@
 
 namespace {
 
-constexpr int kMisdirected = 421;
-constexpr int kDeadlinePassed = 504;
-/// Running, waiting and slots; servers may tell more.
-constexpr size_t kLeastLoadFigures = 3;
+constexpr int kHttpMisdirectedRequest = 421;
+constexpr int kHttpGatewayTimeout = 504;
+/// Running, waiting and slots; servers may report more.
+constexpr size_t kMinLoadNumbers = 3;
 
-AttemptEnd JudgeAnswer(const HttpResponse& answer, const ProxyNames& names) {
-  if (answer.m_status == kMisdirected) {
+AttemptEnd ClassifyResponse(const HttpResponse& answer,
+                            const ProxyHeaderNames& names) {
+  if (answer.m_status == kHttpMisdirectedRequest) {
     return AttemptEnd::kWrongInstance;
   }
   if (FindField(answer.m_headers, names.m_not_run) != nullptr) {
@@ -26,10 +27,11 @@
   }
   if (FindField(answer.m_headers, names.m_stamp) == nullptr &&
       answer.m_status < 300) {
-    // A success that no server vouches for is nobody's answer.
+    // A success without the server's stamp may come from an intermediary and
+    // does not prove that the server ran the request.
     return AttemptEnd::kLost;
   }
-  if (answer.m_status == kDeadlinePassed) {
+  if (answer.m_status == kHttpGatewayTimeout) {
     return AttemptEnd::kOutOfTime;
   }
   return answer.m_status >= 500 ? AttemptEnd::kServerError
@@ -38,7 +40,8 @@
 
 }  // namespace
 
-AttemptReport JudgeReply(const ServerReply& reply, const ProxyNames& names) {
+AttemptReport ClassifyReply(const ServerReply& reply,
+                            const ProxyHeaderNames& names) {
   AttemptReport report;
   report.m_latency = reply.m_latency;
   switch (reply.m_end) {
@@ -48,31 +51,31 @@
     case ReplyEnd::kLost:
       report.m_end = AttemptEnd::kLost;
       return report;
-    case ReplyEnd::kWhole:
+    case ReplyEnd::kComplete:
       break;
   }
-  report.m_end = JudgeAnswer(reply.m_response, names);
+  report.m_end = ClassifyResponse(reply.m_response, names);
   const std::string* load = FindField(reply.m_response.m_headers, names.m_load);
   if (load != nullptr) {
     report.m_load = ParseLoad(*load);
   }
   if (report.m_end != AttemptEnd::kWrongInstance) {
-    report.m_notice = ReadServerNotice(reply.m_response, names);
+    report.m_notice = ParseServerNotice(reply.m_response, names);
   }
   return report;
 }
 
 std::optional<ReportedLoad> ParseLoad(const std::string& text) {
-  std::vector<uint32_t> figures;
+  std::vector<uint32_t> numbers;
   const char* at = text.data();
   const char* const end = at + text.size();
   while (true) {
-    uint32_t figure = 0;
-    const auto [next, error] = std::from_chars(at, end, figure);
+    uint32_t number = 0;
+    const auto [next, error] = std::from_chars(at, end, number);
     if (error != std::errc()) {
       return std::nullopt;
     }
-    figures.push_back(figure);
+    numbers.push_back(number);
     if (next == end) {
       break;
     }
@@ -81,13 +84,13 @@
     }
     at = next + 1;
   }
-  if (figures.size() < kLeastLoadFigures) {
+  if (numbers.size() < kMinLoadNumbers) {
     return std::nullopt;
   }
   ReportedLoad load{
-      .m_running = figures[0], .m_waiting = figures[1], .m_slots = figures[2]};
-  if (figures.size() > kLeastLoadFigures) {
-    load.m_work_percent = figures[3];
+      .m_running = numbers[0], .m_waiting = numbers[1], .m_slots = numbers[2]};
+  if (numbers.size() > kMinLoadNumbers) {
+    load.m_work_percent = numbers[3];
   }
   return load;
 }
--- a/src/proxy/request_digest.cc
+++ b/src/proxy/request_digest.cc
@@ -1,4 +1,4 @@
-/// @file request_digest.cc Hashing the parts of a request.
+/// @file request_digest.cc Hashing of a request.
 
 #include <xxhash.h>
 
@@ -7,21 +7,22 @@
 
 #include "net/http_message_type.h"
 #include "proxy/forwarded_fields_func.h"
-#include "proxy/proxy_names_type.h"
+#include "proxy/proxy_header_names_type.h"
 #include "proxy/request_digest_func.h"
 
 namespace sorrelplank {
 
 namespace {
 
-/// A part with its length, so that no part can run into the next one.
+/// Appends a part with its length as prefix, so that the boundary between two
+/// parts is unambiguous.
 void AppendPart(const std::string& part, std::string& parts) {
   parts += std::to_string(part.size());
   parts += ':';
   parts += part;
 }
 
-/// Of common tracing formats; each attempt has its own values.
+/// Fields of common tracing formats; their values differ for each attempt.
 const std::set<std::string> kTracingFields = {
     "traceparent",   "tracestate",   "baggage",         "b3",
     "uber-trace-id", "x-request-id", "x-correlation-id"};
@@ -32,19 +33,19 @@
 
 }  // namespace
 
-RequestDigest DigestOf(const HttpRequest& request,
-                       const ProxyNames& names,
-                       const CallerIdentity& caller) {
+RequestDigest ComputeRequestDigest(const HttpRequest& request,
+                                   const ProxyHeaderNames& names,
+                                   const CallerIdentity& caller) {
   std::string parts;
   AppendPart(caller.m_organisation, parts);
   AppendPart(request.m_method, parts);
   AppendPart(request.m_target, parts);
   for (const auto& [name, value] : request.m_headers) {
-    const bool is_hidden = caller.m_hides_key && IsAboutCaller(name, names);
-    const bool is_same_each_time = IsPassedOn(name, names) &&
-                                   name != names.m_request_id &&
-                                   !IsTracing(name);
-    if (is_same_each_time && !is_hidden) {
+    const bool is_hidden =
+        caller.m_excludes_credentials && IsCallerIdentityField(name, names);
+    const bool is_stable = IsForwardedField(name, names) &&
+                           name != names.m_request_id && !IsTracing(name);
+    if (is_stable && !is_hidden) {
       AppendPart(name, parts);
       AppendPart(value, parts);
     }
--- a/src/proxy/request_digest_func.h
+++ b/src/proxy/request_digest_func.h
@@ -1,4 +1,4 @@
-/// @file request_digest_func.h The digest of a request that a client sent.
+/// @file request_digest_func.h Digest that identifies a client's request.
 
 #ifndef SORRELPLANK_PROXY_REQUEST_DIGEST_FUNC_H_
 #define SORRELPLANK_PROXY_REQUEST_DIGEST_FUNC_H_
@@ -10,27 +10,29 @@
 namespace sorrelplank {
 
 struct HttpRequest;
-struct ProxyNames;
+struct ProxyHeaderNames;
 
-/// Who asks, as the backend server is told.
+/// The caller as the backend server sees it.
 struct CallerIdentity {
-  /// Empty where it names none.
+  /// Empty if the caller belongs to none.
   std::string m_organisation;
-  /// Whether the fields that the client sent about itself stay with us.
-  bool m_hides_key = false;
+  /// Whether the client's fields about its identity are not forwarded.
+  bool m_excludes_credentials = false;
 };
 
-/// Of all that a backend server gets of the request: method, path with query,
-/// header fields and the whole body; but not of what differs between two
-/// attempts at it: its id, the time left and fields for tracing.
+/// Computes a digest of everything that a backend server receives of the
+/// request: method, path with query, header fields and the whole body. Left out
+/// is what differs between two attempts: request id, time left and tracing
+/// fields.
 ///
-/// Nor of the client's address: one request is repeated from several. A client
-/// can pass for another one only by sending what that one sends, credentials
-/// included, and servers would take it for the same as well. Where
-/// organisations have keys, the organisation counts in place of the key.
-RequestDigest DigestOf(const HttpRequest& request,
-                       const ProxyNames& names,
-                       const CallerIdentity& caller = {});
+/// The client's address is left out as well, since the same request may be
+/// repeated from several addresses. A client can only produce the digest of
+/// another one by sending the same content, credentials included, and then
+/// servers cannot tell them apart either. If organisations have keys, the
+/// organisation is hashed instead of the key.
+RequestDigest ComputeRequestDigest(const HttpRequest& request,
+                                   const ProxyHeaderNames& names,
+                                   const CallerIdentity& caller = {});
 
 }  // namespace sorrelplank
 
--- /dev/null
+++ b/src/proxy/request_proxy.h
@@ -0,0 +1,120 @@
+/// @file request_proxy.h Forwards client requests to backend servers.
+
+#ifndef SORRELPLANK_PROXY_REQUEST_PROXY_H_
+#define SORRELPLANK_PROXY_REQUEST_PROXY_H_
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <string>
+#include <unordered_map>
+#include <utility>
+#include <variant>
+
+#include "core/ids_type.h"
+#include "core/request_digest_type.h"
+#include "net/http_message_type.h"
+#include "proxy/proxy_header_names_type.h"
+#include "proxy/request_digest_func.h"
+#include "proxy/seen_response_fields.h"
+#include "proxy/server_pool.h"
+#include "proxy/server_reply_type.h"
+#include "steer/steering.h"
+
+namespace sorrelplank {
+
+class DecisionLog;
+class ProxyMetrics;
+
+/// Message to the other VMs about requests that crash servers.
+using CrashUpdate = std::variant<CrashReport, CrashesForgotten>;
+
+/// Accepts client requests, sends them to backend servers and returns the
+/// responses. All routing decisions are made by Steering; this class executes
+/// its actions.
+class RequestProxy {
+ public:
+  RequestProxy(asio::io_context& io,
+               const SteeringSettings& settings,
+               ProxyHeaderNames names,
+               DecisionLog& log,
+               ProxyMetrics& metrics);
+
+  /// Receives the crash updates that this VM must share with the others.
+  using CrashUpdateHandler = std::function<void(const CrashUpdate&)>;
+  void SetCrashUpdateHandler(CrashUpdateHandler handler) {
+    m_on_crash_update = std::move(handler);
+  }
+
+  /// Sends a quota request to its keeper.
+  using QuotaRequestSender = std::function<void(const QuotaQuestion&)>;
+  void SetQuotaRequestSender(QuotaRequestSender sender) {
+    m_send_quota_request = std::move(sender);
+  }
+
+  /// Handles a client's request. The reply handler is called once, unless the
+  /// client closes its connection first.
+  void Accept(HttpRequest request, HttpReply reply);
+  /// Cancels all requests of a connection that the client closed.
+  void ClientClosed(uint64_t connection);
+  /// Runs the periodic work of steering and of the connection pool.
+  void Tick();
+
+  /// From now on every response closes its connection.
+  void SetStopping() { m_is_stopping = true; }
+
+  Steering& GetSteering() { return m_steering; }
+  ServerPool& Pool() { return m_pool; }
+
+ private:
+  /// A request that has not been answered yet.
+  struct OpenRequest {
+    HttpRequest m_request;
+    HttpReply m_reply;
+    std::string m_id;
+    RequestDigest m_digest;
+    TimePoint m_arrived;
+    /// Response of the last send that ended.
+    HttpResponse m_server_response;
+  };
+
+  void Dispatch(const SteerAction& action);
+  void Handle(const SendToServer& action);
+  void Handle(const CancelSend& action);
+  void Handle(const ForwardServerAnswer& action);
+  void Handle(const RefuseRequest& action);
+  void Handle(const BeliefChanged& action);
+  void Handle(const SplitMoved& action);
+  void Handle(const ServerRestarted& action);
+  void Handle(const CheckServerReach& action);
+  void Handle(const RequestSuspected& action);
+  void Handle(const RequestHeld& action);
+  void Handle(const HoldEnded& action);
+  void Handle(const CrashesForgotten& action);
+  void Handle(const AskForTokens& action);
+
+  /// Determines the caller from the routing table in force.
+  CallerIdentity IdentifyCaller(const RequestFacts& facts) const;
+  std::string SerializeRequest(const OpenRequest& open,
+                               const SendToServer& action) const;
+  void OnSendEnded(RequestId request, AttemptId attempt, ServerReply reply);
+  void Respond(RequestId request, HttpResponse response, const char* outcome);
+  void RejectMalformed(const HttpReply& reply, int status, const char* problem);
+
+  ProxyHeaderNames m_names;
+  DecisionLog& m_log;
+  ProxyMetrics& m_metrics;
+  ServerPool m_pool;
+  Steering m_steering;
+  CrashUpdateHandler m_on_crash_update = [](const CrashUpdate&) {};
+  QuotaRequestSender m_send_quota_request = [](const QuotaQuestion&) {};
+  uint64_t m_next_request = 1;
+  SeenResponseFields m_response_fields;
+  bool m_is_stopping = false;
+  std::unordered_map<RequestId, OpenRequest> m_open_requests;
+  std::multimap<uint64_t, RequestId> m_requests_by_connection;
+};
+
+}  // namespace sorrelplank
+
+#endif  // SORRELPLANK_PROXY_REQUEST_PROXY_H_
--- a/src/proxy/server_connection.cc
+++ b/src/proxy/server_connection.cc
@@ -1,4 +1,4 @@
-/// @file server_connection.cc Sending, and strict reading of answers.
+/// @file server_connection.cc Sending of requests and parsing of responses.
 
 #include "proxy/server_connection.h"
 
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Data or an opening that a peer does not acknowledge for this long ends the
-/// connection. A peer without power resets nothing; losses of single packets
-/// are mended sooner.
-constexpr unsigned kUserTimeoutMs = 2000;
-/// A connection is used for this part of the time that the server promises, so
-/// that our request does not cross its close.
-constexpr double kKeepPart = 0.8;
-/// Taken where the server promises no time.
-constexpr Duration kUnstatedKeep = seconds(3);
+/// TCP_USER_TIMEOUT: the connection is closed if the peer does not acknowledge
+/// data or the connection setup for this long. It detects a peer that lost
+/// power and sends no reset; single packet losses are recovered sooner.
+constexpr unsigned kTcpUserTimeoutMs = 2000;
+/// Fraction of the announced keep-alive time for which a connection is used, so
+/// that a request does not race with the server's close.
+constexpr double kKeepAliveUseFraction = 0.8;
+/// Used if the server announces no keep-alive time.
+constexpr Duration kDefaultKeepAlive = seconds(3);
 
 }  // namespace
 
@@ -33,25 +33,25 @@
     : m_socket(io),
       m_connect_timer(io),
       m_address(address),
-      m_idle_end(std::move(idle_end)) {
+      m_on_idle_end(std::move(idle_end)) {
   http_parser_init(&m_parser, HTTP_RESPONSE);
   m_parser.data = this;
 }
 
-void ServerConnection::Send(ServerSend send,
+void ServerConnection::Send(ServerRequest send,
                             Duration connect_timeout,
                             ReplyHandler handler) {
-  m_send = std::move(send);
+  m_request = std::move(send);
   m_handler = std::move(handler);
   m_response = HttpResponse();
   m_response.m_content_type.clear();
   m_is_busy = true;
-  m_write_done = false;
+  m_is_write_done = false;
   m_written = 0;
-  m_message_complete = false;
-  m_too_large = false;
+  m_is_message_complete = false;
+  m_is_too_large = false;
   m_started = SteadyNow();
-  ++m_sends;
+  ++m_send_count;
   if (m_is_open) {
     Write();
   } else {
@@ -63,7 +63,7 @@
   std::error_code ignored;
   m_socket.open(asio::ip::tcp::v4(), ignored);
   m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-  const unsigned user_timeout = kUserTimeoutMs;
+  const unsigned user_timeout = kTcpUserTimeoutMs;
   setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
              &user_timeout, sizeof(user_timeout));
   m_connect_timer.expires_after(timeout);
@@ -92,20 +92,21 @@
 }
 
 void ServerConnection::Write() {
-  asio::async_write(
-      m_socket, asio::buffer(m_send.m_bytes),
-      [self = shared_from_this(), number = m_sends](std::error_code error,
-                                                    size_t bytes) {
-        if (self->m_is_closed || !self->m_is_busy || self->m_sends != number) {
-          return;
-        }
-        self->m_written = bytes;
-        self->m_write_done = !error;
-        if (error) {
-          self->Finish(bytes == 0 ? ReplyEnd::kNotSent : ReplyEnd::kLost,
-                       "write failed");
-        }
-      });
+  asio::async_write(m_socket, asio::buffer(m_request.m_bytes),
+                    [self = shared_from_this(), number = m_send_count](
+                        std::error_code error, size_t bytes) {
+                      if (self->m_is_closed || !self->m_is_busy ||
+                          self->m_send_count != number) {
+                        return;
+                      }
+                      self->m_written = bytes;
+                      self->m_is_write_done = !error;
+                      if (error) {
+                        self->Finish(
+                            bytes == 0 ? ReplyEnd::kNotSent : ReplyEnd::kLost,
+                            "write failed");
+                      }
+                    });
 }
 
 void ServerConnection::Read() {
@@ -125,8 +126,8 @@
 
 void ServerConnection::OnRead(size_t bytes) {
   if (!m_is_busy) {
-    // Nothing was asked: the bytes belong to no request.
-    m_idle_end(this);
+    // Unsolicited bytes: no request is in progress.
+    m_on_idle_end(this);
     return;
   }
   static const http_parser_settings parser_settings = [] {
@@ -141,23 +142,23 @@
   }();
   size_t parsed = 0;
   while (parsed < bytes) {
-    // Stops behind each message, so that an answer of another request is seen
-    // before the next one begins.
+    // The parser pauses after each message, so that a response to another
+    // request is handled before the next one is parsed.
     parsed += http_parser_execute(&m_parser, &parser_settings,
                                   m_buffer.data() + parsed, bytes - parsed);
-    if (m_message_complete) {
+    if (m_is_message_complete) {
       http_parser_pause(&m_parser, 0);
-      const bool is_last = IsOurs();
-      m_is_spoilt |= is_last && parsed < bytes;
-      OnAnswer();
+      const bool is_last = IsResponseToCurrentRequest();
+      m_must_close |= is_last && parsed < bytes;
+      OnResponse();
       if (is_last || m_is_closed) {
         break;
       }
       continue;
     }
     if (HTTP_PARSER_ERRNO(&m_parser) != HPE_OK) {
-      Finish(ReplyEnd::kLost,
-             m_too_large ? "answer too large" : "answer is no HTTP");
+      Finish(ReplyEnd::kLost, m_is_too_large ? "response too large"
+                                             : "response is not valid HTTP");
       return;
     }
   }
@@ -166,64 +167,65 @@
   }
 }
 
-void ServerConnection::OnReadEnd(bool is_clean) {
+void ServerConnection::OnReadEnd(bool is_eof) {
   if (!m_is_busy) {
-    m_idle_end(this);
+    m_on_idle_end(this);
     return;
   }
-  // An answer without a length ends with its connection; one that is reset on
-  // the way is not whole.
-  if (is_clean && m_response.m_status != 0 && !m_response.m_headers.empty()) {
+  // A response without a length ends when the connection is closed; if the
+  // connection is reset instead, the response is incomplete.
+  if (is_eof && m_response.m_status != 0 && !m_response.m_headers.empty()) {
     http_parser_settings settings;
     http_parser_settings_init(&settings);
     settings.on_message_complete = &ServerConnection::OnMessageComplete;
     http_parser_execute(&m_parser, &settings, nullptr, 0);
-    if (m_message_complete && IsOurs()) {
-      m_is_spoilt = true;
-      OnAnswer();
+    if (m_is_message_complete && IsResponseToCurrentRequest()) {
+      m_must_close = true;
+      OnResponse();
       return;
     }
   }
-  Finish(ReplyEnd::kLost,
-         is_clean ? "closed without a whole answer" : "connection broke");
+  Finish(ReplyEnd::kLost, is_eof ? "closed before the response was complete"
+                                 : "connection error");
 }
 
-bool ServerConnection::IsOurs() const {
+bool ServerConnection::IsResponseToCurrentRequest() const {
   if (m_parser.status_code / 100 == 1) {
     return false;
   }
   const std::string* id =
-      FindField(m_response.m_headers, m_send.m_request_id_name);
+      FindField(m_response.m_headers, m_request.m_request_id_name);
   if (id != nullptr) {
-    return *id == m_send.m_request_id;
+    return *id == m_request.m_request_id;
   }
-  // On a connection's first request there is no other that it could belong to.
-  return m_sends == 1 && m_parser.status_code >= 300;
+  // An error response without an id to the first request of a connection can
+  // belong to no other request.
+  return m_send_count == 1 && m_parser.status_code >= 300;
 }
 
-void ServerConnection::OnAnswer() {
-  m_message_complete = false;
-  if (!IsOurs()) {
-    // An interim answer, or a late one to an earlier request: ours may still
-    // follow. After a stray answer the connection is not used again.
-    m_is_spoilt |= m_parser.status_code / 100 != 1;
+void ServerConnection::OnResponse() {
+  m_is_message_complete = false;
+  if (!IsResponseToCurrentRequest()) {
+    // An interim response, or a late one to an earlier request: the expected
+    // one may still follow. After a late response the connection is not reused.
+    m_must_close |= m_parser.status_code / 100 != 1;
     m_response = HttpResponse();
     m_response.m_content_type.clear();
     return;
   }
   m_response.m_status = m_parser.status_code;
-  NoteKeepAlive();
-  // An answer that comes before the request was sent whole leaves the rest of
-  // the request's body due on the connection.
-  m_is_spoilt |= !m_write_done;
-  Finish(ReplyEnd::kWhole, "");
+  UpdateKeepAlive();
+  // If the response arrives before the request was sent completely, the rest of
+  // the request is still pending on the connection.
+  m_must_close |= !m_is_write_done;
+  Finish(ReplyEnd::kComplete, "");
 }
 
-void ServerConnection::NoteKeepAlive() {
+void ServerConnection::UpdateKeepAlive() {
   const TimePoint now = SteadyNow();
   m_idle_since = now;
-  m_usable_until = now + kUnstatedKeep;
-  m_is_spoilt |= http_should_keep_alive(&m_parser) == 0;
+  m_usable_until = now + kDefaultKeepAlive;
+  m_must_close |= http_should_keep_alive(&m_parser) == 0;
   const std::string* field = FindField(m_response.m_headers, "keep-alive");
   if (field == nullptr) {
     return;
@@ -233,9 +235,9 @@
     return;
   }
   const auto promised = seconds(std::atoi(field->c_str() + at + 8));
-  m_usable_until =
-      now + std::chrono::duration_cast<Duration>(
-                std::chrono::duration<double>(promised) * kKeepPart);
+  m_usable_until = now + std::chrono::duration_cast<Duration>(
+                             std::chrono::duration<double>(promised) *
+                             kKeepAliveUseFraction);
 }
 
 void ServerConnection::Finish(ReplyEnd end, const char* problem) {
@@ -244,11 +246,11 @@
   reply.m_problem = problem;
   reply.m_latency = SteadyNow() - m_started;
   reply.m_response = std::move(m_response);
-  reply.m_kept_connection = m_sends > 1;
+  reply.m_is_reused_connection = m_send_count > 1;
   m_is_busy = false;
   const ReplyHandler handler = std::exchange(m_handler, nullptr);
-  if (end != ReplyEnd::kWhole || m_is_spoilt) {
-    m_is_spoilt = true;
+  if (end != ReplyEnd::kComplete || m_must_close) {
+    m_must_close = true;
     Close();
   }
   if (handler) {
@@ -270,9 +272,9 @@
                                     size_t length) {
   auto* self = static_cast<ServerConnection*>(parser->data);
   auto& headers = self->m_response.m_headers;
-  if (headers.empty() || self->m_value_begun) {
+  if (headers.empty() || self->m_has_value_begun) {
     headers.emplace_back();
-    self->m_value_begun = false;
+    self->m_has_value_begun = false;
   }
   headers.back().first += ToLower(std::string(at, length));
   return 0;
@@ -283,13 +285,13 @@
                                     size_t length) {
   auto* self = static_cast<ServerConnection*>(parser->data);
   self->m_response.m_headers.back().second.append(at, length);
-  self->m_value_begun = true;
+  self->m_has_value_begun = true;
   return 0;
 }
 
 int ServerConnection::OnHeadersComplete(http_parser* parser) {
   auto* self = static_cast<ServerConnection*>(parser->data);
-  return self->m_send.m_is_head ? 1 : 0;
+  return self->m_request.m_is_head ? 1 : 0;
 }
 
 int ServerConnection::OnBody(http_parser* parser,
@@ -297,8 +299,8 @@
                              size_t length) {
   auto* self = static_cast<ServerConnection*>(parser->data);
   std::string& body = self->m_response.m_body;
-  if (body.size() + length > self->m_send.m_most_answer_bytes) {
-    self->m_too_large = true;
+  if (body.size() + length > self->m_request.m_max_response_bytes) {
+    self->m_is_too_large = true;
     return 1;
   }
   body.append(at, length);
@@ -307,7 +309,7 @@
 
 int ServerConnection::OnMessageComplete(http_parser* parser) {
   auto* self = static_cast<ServerConnection*>(parser->data);
-  self->m_message_complete = true;
+  self->m_is_message_complete = true;
   http_parser_pause(parser, 1);
   return 0;
 }
--- a/src/proxy/server_connection.h
+++ b/src/proxy/server_connection.h
@@ -1,4 +1,4 @@
-/// @file server_connection.h One connection to a backend server.
+/// @file server_connection.h HTTP connection to a backend server.
 
 #ifndef SORRELPLANK_PROXY_SERVER_CONNECTION_H_
 #define SORRELPLANK_PROXY_SERVER_CONNECTION_H_
@@ -17,41 +17,43 @@
 
 namespace sorrelplank {
 
-/// What to send on a connection.
-struct ServerSend {
-  /// The whole request as bytes.
+/// A request to send on a connection.
+struct ServerRequest {
+  /// The complete serialised request.
   std::string m_bytes;
   std::string m_request_id;
-  /// Lower-case name of the field in which servers repeat the id.
+  /// Lower-case name of the field in which servers repeat the request id.
   std::string m_request_id_name;
   bool m_is_head = false;
-  size_t m_most_answer_bytes = 0;
+  size_t m_max_response_bytes = 0;
 };
 
-/// HTTP/1.1 over Asio, one request at a time.
+/// HTTP/1.1 client connection over Asio, one request at a time.
 ///
-/// Our own client instead of libcurl: libcurl sends a request a second time by
-/// itself when a kept connection breaks, which may run it twice, and it takes
-/// whatever answer comes next for the answer. Here nothing is sent twice, and
-/// only an answer that repeats the request's id counts.
+/// libcurl is not used because it resends a request on its own when a reused
+/// connection breaks, which may run the request twice, and because it accepts
+/// any response that comes next. This class never resends, and only accepts a
+/// response that repeats the request id.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
-  /// Told when an idle connection can no longer be used.
+  /// Called when an idle connection can no longer be used.
   using IdleEndHandler = std::function<void(ServerConnection*)>;
 
   ServerConnection(asio::io_context& io,
                    VmAddress address,
                    IdleEndHandler idle_end);
 
-  /// Connects first where needed. The handler runs once, never within Send.
-  void Send(ServerSend send, Duration connect_timeout, ReplyHandler handler);
+  /// Connects first if necessary. The handler is called once, never from within
+  /// Send.
+  void Send(ServerRequest send, Duration connect_timeout, ReplyHandler handler);
 
-  /// Closes; the handler does not run any more.
+  /// Closes the connection; the handler is not called any more.
   void Close();
 
-  /// Whether another request may be sent now.
-  bool IsReusable() const { return m_is_open && !m_is_busy && !m_is_spoilt; }
-  /// Until when the server keeps the connection open, by its own word.
+  /// Whether another request may be sent now, regardless of UsableUntil.
+  bool IsReusable() const { return m_is_open && !m_is_busy && !m_must_close; }
+  /// End of the keep-alive time that the server announced, less a safety
+  /// margin; a default if it announced none.
   TimePoint UsableUntil() const { return m_usable_until; }
   TimePoint IdleSince() const { return m_idle_since; }
 
@@ -60,12 +62,12 @@
   void Write();
   void Read();
   void OnRead(size_t bytes);
-  void OnReadEnd(bool is_clean);
-  /// A whole answer was parsed.
-  void OnAnswer();
+  void OnReadEnd(bool is_eof);
+  /// A complete response was parsed.
+  void OnResponse();
   void Finish(ReplyEnd end, const char* problem);
-  bool IsOurs() const;
-  void NoteKeepAlive();
+  bool IsResponseToCurrentRequest() const;
+  void UpdateKeepAlive();
 
   static int OnHeaderField(http_parser* parser, const char* at, size_t length);
   static int OnHeaderValue(http_parser* parser, const char* at, size_t length);
@@ -78,25 +80,25 @@
   asio::ip::tcp::socket m_socket;
   asio::steady_timer m_connect_timer;
   VmAddress m_address;
-  IdleEndHandler m_idle_end;
+  IdleEndHandler m_on_idle_end;
   http_parser m_parser{};
   std::array<char, kBufferBytes> m_buffer{};
 
-  ServerSend m_send;
+  ServerRequest m_request;
   ReplyHandler m_handler;
   HttpResponse m_response;
-  bool m_value_begun = false;
+  bool m_has_value_begun = false;
   TimePoint m_started{};
   size_t m_written = 0;
-  bool m_write_done = false;
+  bool m_is_write_done = false;
 
   bool m_is_open = false;
   bool m_is_busy = false;
-  bool m_is_spoilt = false;
+  bool m_must_close = false;
   bool m_is_closed = false;
-  bool m_message_complete = false;
-  bool m_too_large = false;
-  uint64_t m_sends = 0;
+  bool m_is_message_complete = false;
+  bool m_is_too_large = false;
+  uint64_t m_send_count = 0;
   TimePoint m_usable_until{};
   TimePoint m_idle_since{};
 };
--- a/src/proxy/server_notice.cc
+++ b/src/proxy/server_notice.cc
@@ -1,4 +1,4 @@
-/// @file server_notice.cc Parsing of header fields.
+/// @file server_notice.cc Parsing of notices in response header fields.
 
 #include <algorithm>
 #include <charconv>
@@ -9,20 +9,20 @@
 #include <vector>
 
 #include "net/http_message_type.h"
-#include "proxy/proxy_names_type.h"
+#include "proxy/proxy_header_names_type.h"
 #include "proxy/server_notice_func.h"
 
 namespace sorrelplank {
 
 namespace {
 
-constexpr int kUnavailable = 503;
+constexpr int kHttpServiceUnavailable = 503;
 constexpr const char* kRetryAfter = "retry-after";
-/// Seconds. A server that asks for more is asked again after this, and may
-/// repeat itself.
-constexpr double kLongestPauseS = 3600;
+/// A server that asks for a longer pause is tried again after this one, and may
+/// ask anew.
+constexpr double kMaxPauseS = 3600;
 
-/// A decimal number of zero or more, without sign and exponent.
+/// Parses a non-negative decimal number without sign and exponent.
 std::optional<double> ParseDecimal(std::string text) {
   const size_t last = text.find_last_not_of(" \t");
   text.resize(last == std::string::npos ? 0 : last + 1);
@@ -30,9 +30,9 @@
   const char* const end = text.data() + text.size();
   const auto [stop, error] =
       std::from_chars(text.data(), end, value, std::chars_format::fixed);
-  const bool is_sound = error == std::errc() && stop == end &&
+  const bool is_valid = error == std::errc() && stop == end &&
                         std::isfinite(value) && !std::signbit(value);
-  return is_sound ? std::optional(value) : std::nullopt;
+  return is_valid ? std::optional(value) : std::nullopt;
 }
 
 bool IsOneOf(const std::vector<std::string>& names, const std::string& name) {
@@ -62,21 +62,22 @@
     return;
   }
   const auto pause = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(std::min(*pause_s, kLongestPauseS)));
+      std::chrono::duration<double>(std::min(*pause_s, kMaxPauseS)));
   notice.m_pause = std::max(pause, notice.m_pause.value_or(pause));
 }
 
 }  // namespace
 
-ServerNotice ReadServerNotice(const HttpResponse& answer,
-                              const ProxyNames& names) {
+ServerNotice ParseServerNotice(const HttpResponse& answer,
+                               const ProxyHeaderNames& names) {
   ServerNotice notice;
   for (const auto& [name, value] : answer.m_headers) {
     if (IsOneOf(names.m_rate_limit, name)) {
       ReadLimit(value, notice);
     } else if (IsOneOf(names.m_leaving, name)) {
       ReadLeaving(value, notice);
-    } else if (answer.m_status == kUnavailable && name == kRetryAfter) {
+    } else if (answer.m_status == kHttpServiceUnavailable &&
+               name == kRetryAfter) {
       ReadPause(value, notice);
     }
   }
--- a/src/proxy/server_notice_func.h
+++ b/src/proxy/server_notice_func.h
@@ -1,4 +1,4 @@
-/// @file server_notice_func.h Reads what a backend server asks of its callers.
+/// @file server_notice_func.h Parser for notices of backend servers.
 
 #ifndef SORRELPLANK_PROXY_SERVER_NOTICE_FUNC_H_
 #define SORRELPLANK_PROXY_SERVER_NOTICE_FUNC_H_
@@ -8,12 +8,13 @@
 namespace sorrelplank {
 
 struct HttpResponse;
-struct ProxyNames;
+struct ProxyHeaderNames;
 
-/// Reads an answer of the server's own. A field that cannot be read asks for
-/// nothing; of several of one name the strictest counts.
-ServerNotice ReadServerNotice(const HttpResponse& answer,
-                              const ProxyNames& names);
+/// Parses rate limit, leaving flag and pause from a response that the server
+/// itself produced. A malformed field is ignored apart from marking the notice;
+/// of repeated fields the strictest one applies.
+ServerNotice ParseServerNotice(const HttpResponse& answer,
+                               const ProxyHeaderNames& names);
 
 }  // namespace sorrelplank
 
--- a/src/proxy/server_pool.cc
+++ b/src/proxy/server_pool.cc
@@ -1,4 +1,4 @@
-/// @file server_pool.cc Choice among kept connections.
+/// @file server_pool.cc Reuse of idle connections.
 
 #include "proxy/server_pool.h"
 
@@ -14,21 +14,21 @@
 
 namespace {
 
-/// Longer than an opening across regions takes, 110 ms, with one packet sent
-/// again by the usual 200 ms timer.
+/// Exceeds the 110 ms of a connection setup across regions plus one
+/// retransmission after the usual 200 ms timer.
 constexpr Duration kConnectTimeout = milliseconds(500);
-/// A server may forget an idle connection without a word; what is sent next is
-/// then reset and may have run. Requests that must not run twice use only
-/// connections that were busy a moment ago.
-constexpr Duration kFreshForUnsafe = milliseconds(1000);
+/// A server may drop an idle connection silently. The next request on it is
+/// then reset, and it is unknown whether it ran. Non-idempotent requests
+/// therefore only use connections that were in use just before.
+constexpr Duration kMaxIdleForNonIdempotent = milliseconds(1000);
 
 }  // namespace
 
 ServerPool::ServerPool(asio::io_context& io) : m_io(io) {}
 
 ServerPool::~ServerPool() {
-  for (auto& [attempt, busy] : m_busy) {
-    busy.m_connection->Close();
+  for (auto& [attempt, active] : m_active_sends) {
+    active.m_connection->Close();
   }
   for (auto& [instance, connections] : m_idle) {
     for (const ConnectionPtr& connection : connections) {
@@ -39,42 +39,43 @@
 
 void ServerPool::Send(AttemptId attempt,
                       const SendTarget& target,
-                      ServerSend send,
+                      ServerRequest send,
                       ReplyHandler handler) {
   ConnectionPtr connection =
       TakeIdle(target.m_instance, target.m_is_idempotent);
   if (!connection) {
-    ++m_opened;
+    ++m_connections_opened;
     connection = std::make_shared<ServerConnection>(
         m_io, target.m_address,
         [this, instance = target.m_instance](ServerConnection* ended) {
-          IdleEnded(instance, ended);
+          OnIdleConnectionEnded(instance, ended);
         });
   }
-  m_busy[attempt] = {connection, target.m_instance, target.m_most_kept};
+  m_active_sends[attempt] = {connection, target.m_instance, target.m_max_idle};
   connection->Send(
       std::move(send), kConnectTimeout,
       [this, attempt, handler = std::move(handler)](ServerReply reply) {
-        const auto it = m_busy.find(attempt);
-        const Busy busy = std::move(it->second);
-        m_busy.erase(it);
-        auto& idle = m_idle[busy.m_instance];
-        if (busy.m_connection->IsReusable() && idle.size() < busy.m_most_kept) {
-          idle.push_back(busy.m_connection);
+        const auto it = m_active_sends.find(attempt);
+        const ActiveSend active = std::move(it->second);
+        m_active_sends.erase(it);
+        auto& idle = m_idle[active.m_instance];
+        if (active.m_connection->IsReusable() &&
+            idle.size() < active.m_max_idle) {
+          idle.push_back(active.m_connection);
         } else {
-          busy.m_connection->Close();
+          active.m_connection->Close();
         }
         handler(std::move(reply));
       });
 }
 
 void ServerPool::Cancel(AttemptId attempt) {
-  const auto it = m_busy.find(attempt);
-  if (it == m_busy.end()) {
+  const auto it = m_active_sends.find(attempt);
+  if (it == m_active_sends.end()) {
     return;
   }
   it->second.m_connection->Close();
-  m_busy.erase(it);
+  m_active_sends.erase(it);
 }
 
 ServerPool::ConnectionPtr ServerPool::TakeIdle(const std::string& instance,
@@ -84,11 +85,12 @@
     return nullptr;
   }
   const TimePoint now = SteadyNow();
-  // The one used last is the least likely to have been forgotten.
+  // The most recently used one is the least likely to have been dropped by the
+  // server.
   while (!it->second.empty()) {
     ConnectionPtr connection = it->second.back();
-    const bool is_fresh =
-        is_idempotent || now - connection->IdleSince() <= kFreshForUnsafe;
+    const bool is_fresh = is_idempotent || now - connection->IdleSince() <=
+                                               kMaxIdleForNonIdempotent;
     if (!is_fresh) {
       return nullptr;
     }
@@ -101,8 +103,8 @@
   return nullptr;
 }
 
-void ServerPool::IdleEnded(const std::string& instance,
-                           const ServerConnection* connection) {
+void ServerPool::OnIdleConnectionEnded(const std::string& instance,
+                                       const ServerConnection* connection) {
   const auto it = m_idle.find(instance);
   if (it == m_idle.end()) {
     return;
@@ -116,9 +118,9 @@
   }
 }
 
-void ServerPool::Check(VmAddress address,
-                       std::function<void(ServerReach)> handler) {
-  ++m_opened;
+void ServerPool::ProbeServer(VmAddress address,
+                             std::function<void(ServerReach)> handler) {
+  ++m_connections_opened;
   std::make_shared<ServerProbe>(m_io, std::move(handler))
       ->Start(address, kConnectTimeout);
 }
@@ -136,7 +138,7 @@
   }
 }
 
-void ServerPool::Drop(const std::string& instance) {
+void ServerPool::CloseIdle(const std::string& instance) {
   const auto it = m_idle.find(instance);
   if (it == m_idle.end()) {
     return;
--- a/src/proxy/server_pool.h
+++ b/src/proxy/server_pool.h
@@ -1,4 +1,4 @@
-/// @file server_pool.h Connections to backend servers.
+/// @file server_pool.h Connection pool for backend servers.
 
 #ifndef SORRELPLANK_PROXY_SERVER_POOL_H_
 #define SORRELPLANK_PROXY_SERVER_POOL_H_
@@ -25,61 +25,64 @@
 namespace sorrelplank {
 
 class ServerConnection;
-struct ServerSend;
+struct ServerRequest;
 
-/// Where a request goes, and what may become of its connection.
+/// Destination of a request and the reuse policy for its connection.
 struct SendTarget {
   std::string m_instance;
   VmAddress m_address;
   bool m_is_idempotent = false;
-  /// Idle connections to the instance that may be kept behind the answer.
-  size_t m_most_kept = 0;
+  /// Maximum number of idle connections to the instance after the response.
+  size_t m_max_idle = 0;
 };
 
-/// Keeps connections by instance: an address may come to belong to another
-/// server, a connection may not.
+/// Pools connections per server instance rather than per address: an address
+/// may be reassigned to another server, an open connection cannot.
 class ServerPool {
  public:
   explicit ServerPool(asio::io_context& io);
   ~ServerPool();
 
-  /// Sends on a kept connection where one is fit, else on a new one.
+  /// Sends on a suitable idle connection, otherwise on a new one.
   void Send(AttemptId attempt,
             const SendTarget& target,
-            ServerSend send,
+            ServerRequest send,
             ReplyHandler handler);
 
-  /// Closes the send's connection; its handler does not run.
+  /// Closes the connection of the send; its handler is not called.
   void Cancel(AttemptId attempt);
 
-  /// Opens a connection, closes it again, and tells whether it could be opened.
-  void Check(VmAddress address, std::function<void(ServerReach)> handler);
+  /// Opens a connection, closes it again and reports whether it could be
+  /// opened.
+  void ProbeServer(VmAddress address, std::function<void(ServerReach)> handler);
 
-  /// Closes kept connections that servers are about to close.
+  /// Closes idle connections whose UsableUntil has passed, before their servers
+  /// close them.
   void CloseExpired(TimePoint now);
-  /// Closes the idle connections of an instance that has gone.
-  void Drop(const std::string& instance);
+  /// Closes the idle connections of an instance that no longer exists.
+  void CloseIdle(const std::string& instance);
 
-  uint64_t Opened() const { return m_opened; }
+  /// Total number of connections opened, including probes.
+  uint64_t ConnectionsOpened() const { return m_connections_opened; }
 
  private:
   using ConnectionPtr = std::shared_ptr<ServerConnection>;
 
-  /// A send under way.
-  struct Busy {
+  /// A send in progress.
+  struct ActiveSend {
     ConnectionPtr m_connection;
     std::string m_instance;
-    size_t m_most_kept = 0;
+    size_t m_max_idle = 0;
   };
 
   ConnectionPtr TakeIdle(const std::string& instance, bool is_idempotent);
-  void IdleEnded(const std::string& instance,
-                 const ServerConnection* connection);
+  void OnIdleConnectionEnded(const std::string& instance,
+                             const ServerConnection* connection);
 
   asio::io_context& m_io;
   std::map<std::string, std::vector<ConnectionPtr>> m_idle;
-  std::unordered_map<AttemptId, Busy> m_busy;
-  uint64_t m_opened = 0;
+  std::unordered_map<AttemptId, ActiveSend> m_active_sends;
+  uint64_t m_connections_opened = 0;
 };
 
 }  // namespace sorrelplank
--- a/src/proxy/server_probe.cc
+++ b/src/proxy/server_probe.cc
@@ -1,4 +1,4 @@
-/// @file server_probe.cc One connection.
+/// @file server_probe.cc TCP connection check.
 
 #include "proxy/server_probe.h"
 
@@ -19,15 +19,16 @@
 }  // namespace
 
 ServerProbe::ServerProbe(asio::io_context& io, Handler handler)
-    : m_socket(io), m_limit(io), m_handler(std::move(handler)) {}
-
-void ServerProbe::Start(VmAddress address, Duration limit) {
-  m_limit.expires_after(limit);
-  m_limit.async_wait([self = shared_from_this()](std::error_code error) {
-    if (!error) {
-      self->Finish(ServerReach::kUnknown);
-    }
-  });
+    : m_socket(io), m_timeout_timer(io), m_handler(std::move(handler)) {}
+
+void ServerProbe::Start(VmAddress address, Duration timeout) {
+  m_timeout_timer.expires_after(timeout);
+  m_timeout_timer.async_wait(
+      [self = shared_from_this()](std::error_code error) {
+        if (!error) {
+          self->Finish(ServerReach::kUnknown);
+        }
+      });
   m_socket.async_connect({asio::ip::address_v4(address.m_ip), address.m_port},
                          [self = shared_from_this()](std::error_code error) {
                            self->Finish(ReachOf(error));
@@ -35,14 +36,15 @@
 }
 
 void ServerProbe::Finish(ServerReach reach) {
-  // A connection that is given up ends with an error as well.
+  // A connection attempt that is aborted by the timeout completes with an error
+  // as well.
   if (m_is_done) {
     return;
   }
   m_is_done = true;
-  m_limit.cancel();
+  m_timeout_timer.cancel();
   std::error_code ignored;
-  // There is nothing to do about a close that fails.
+  // An error on close cannot be handled here.
   m_socket.close(ignored);
   m_handler(reach);
 }
--- a/src/proxy/server_probe.h
+++ b/src/proxy/server_probe.h
@@ -1,4 +1,4 @@
-/// @file server_probe.h Whether a server takes connections.
+/// @file server_probe.h Checks whether a server accepts connections.
 
 #ifndef SORRELPLANK_PROXY_SERVER_PROBE_H_
 #define SORRELPLANK_PROXY_SERVER_PROBE_H_
@@ -13,22 +13,22 @@
 
 namespace sorrelplank {
 
-/// Opens one connection and closes it again; nothing is sent, so it costs the
-/// server no slot.
+/// Opens one connection and closes it again. Nothing is sent, so that the probe
+/// occupies no slot of the server.
 class ServerProbe : public std::enable_shared_from_this<ServerProbe> {
  public:
   using Handler = std::function<void(ServerReach)>;
 
   ServerProbe(asio::io_context& io, Handler handler);
 
-  /// The handler runs once, never within this.
-  void Start(VmAddress address, Duration limit);
+  /// The handler is called once, never from within Start.
+  void Start(VmAddress address, Duration timeout);
 
  private:
   void Finish(ServerReach reach);
 
   asio::ip::tcp::socket m_socket;
-  asio::steady_timer m_limit;
+  asio::steady_timer m_timeout_timer;
   Handler m_handler;
   bool m_is_done = false;
 };
--- a/src/proxy/server_reply_type.h
+++ b/src/proxy/server_reply_type.h
@@ -1,4 +1,4 @@
-/// @file server_reply_type.h What came back of one send.
+/// @file server_reply_type.h Result of one send to a backend server.
 
 #ifndef SORRELPLANK_PROXY_SERVER_REPLY_TYPE_H_
 #define SORRELPLANK_PROXY_SERVER_REPLY_TYPE_H_
@@ -11,22 +11,22 @@
 
 namespace sorrelplank {
 
-/// How far a send came.
+/// How a send ended.
 enum class ReplyEnd : uint8_t {
-  kWhole,    ///< A whole answer that carries the request's id.
-  kNotSent,  ///< Not one byte left this process.
-  kLost,     ///< Some bytes left, and no whole answer came.
+  kComplete,  ///< A complete response that carries the request id.
+  kNotSent,   ///< No byte was sent.
+  kLost,      ///< Some bytes were sent, but no complete response was received.
 };
 
-/// Outcome of a send.
+/// Outcome of a send, with the response if there is one.
 struct ServerReply {
   ReplyEnd m_end = ReplyEnd::kLost;
   HttpResponse m_response;
-  /// Since the first byte was handed to the connection.
+  /// Since the request was handed to the connection.
   Duration m_latency{};
-  /// What went wrong, for logs; a constant.
+  /// Error description for logs; a string literal.
   const char* m_problem = "";
-  bool m_kept_connection = false;
+  bool m_is_reused_connection = false;
 };
 
 using ReplyHandler = std::function<void(ServerReply)>;
--- a/tests/directory_test.cc
+++ b/tests/directory_test.cc
@@ -1,4 +1,4 @@
-/// @file directory_test.cc Which entry VMs a client is told to use.
+/// @file directory_test.cc Selection of entry VMs for a client.
 
 #include <criterion/criterion.h>
 
@@ -27,15 +27,15 @@
   cr_assert_str_eq(addresses[1].c_str(), "2:1");
 }
 
-// All entry VMs of the client's region are gone. Requests with home regions
-// must not have their bodies sent to a VM elsewhere.
+// Guards against sending request bodies outside the home regions when all entry
+// VMs of the client's region are gone.
 Test(Directory, OwnRegionEmpty_HostHasHomes_NamesTheHomes) {
   const auto addresses = ChooseAddresses(kFleet, {"east", "d9", {"south"}});
   cr_assert_eq(addresses.size(), 1);
   cr_assert_str_eq(addresses[0].c_str(), "3:1");
 }
 
-Test(Directory, NothingFits_AnyVm_IsBetterThanNone) {
+Test(Directory, NoRegionMatches_Asked_NamesAllVms) {
   cr_assert_eq(ChooseAddresses(kFleet, {"east", "d9", {"moon"}}).size(), 4);
   cr_assert(ChooseAddresses({}, {"north", "d1", {}}).empty());
 }
@@ -43,10 +43,10 @@
 Test(Directory, LargeFleet_Answer_StaysWithinItsBound) {
   const std::vector<FleetMember> fleet(300, kFleet[0]);
   cr_assert_eq(ChooseAddresses(fleet, {"north", "d1", {}}).size(),
-               kMostDirectoryAddresses);
+               kMaxDirectoryAddresses);
 }
 
-/// A region of three failure domains, each with one large VM in eleven.
+/// A region of three failure domains in which every eleventh VM is large.
 std::vector<FleetMember> LargeRegion(size_t vms_per_domain) {
   std::vector<FleetMember> fleet;
   for (const std::string domain : {"d1", "d2", "d3"}) {
@@ -67,8 +67,8 @@
       [&](const std::string& one) { return one.starts_with(prefix); }));
 }
 
-// Guards against sending all clients of a region to the VMs of one failure
-// domain, those whose names come first.
+// Guards against sending all clients of a region to a single failure domain,
+// the one whose VM names sort first.
 Test(Directory, RegionTooLargeForOneAnswer_OwnDomain_IsUsed) {
   const auto fleet = LargeRegion(44);
   for (const std::string domain : {"d1", "d2", "d3"}) {
@@ -78,7 +78,7 @@
   }
 }
 
-// Guards against load that goes to small VMs while large ones idle.
+// Guards against overloading small VMs while large ones are idle.
 Test(Directory, DomainTooLargeForOneAnswer_LargeVms_CarryTheLoad) {
   const auto addresses = ChooseAddresses(LargeRegion(110), {"north", "d2", {}});
   cr_expect_eq(addresses.size(), 10U);
@@ -88,19 +88,20 @@
   }
 }
 
-// Guards against an answer of one or two VMs after most of a domain was lost.
+// Guards against an answer of only one or two VMs after the loss of most of a
+// domain.
 Test(Directory, OwnDomainNearlyLost_Answer_IsFilledFromTheRegion) {
   auto fleet = LargeRegion(60);
   std::erase_if(fleet, [](const FleetMember& member) {
     return member.m_failure_domain == "d2" && member.m_vm != "d2-7";
   });
   const auto addresses = ChooseAddresses(fleet, {"north", "d2", {}});
-  cr_expect_eq(addresses.size(), kMostDirectoryAddresses);
+  cr_expect_eq(addresses.size(), kMaxDirectoryAddresses);
   cr_expect_str_eq(addresses.front().c_str(), "d2-7");
 }
 
-// Guards against clients that leave their connections since one VM more or less
-// changes the whole answer.
+// Guards against clients dropping their connections because adding or removing
+// one VM changes the whole answer.
 Test(Directory, LargeFleet_OneVmLeaves_OneAddressChanges) {
   const auto fleet = LargeRegion(110);
   const DirectoryQuery query{"north", "d2", {}};
@@ -117,7 +118,7 @@
   cr_expect_geq(kept, static_cast<long>(before.size()) - 1);
 }
 
-// Guards against a choice over the whole fleet for each question of a client.
+// Guards against evaluating the whole fleet for each query of a client.
 Test(Directory, ManyQuestions_FleetUnchanged_AreChosenOnce) {
   for (const size_t vms : {50, 100, 200}) {
     ClientDirectory directory;
@@ -126,7 +127,7 @@
       directory.AddressesFor(
           {"north", "d" + std::to_string(question % 3 + 1), {}});
     }
-    cr_expect_eq(directory.Choices(), 3U);
+    cr_expect_eq(directory.CacheMisses(), 3U);
     directory.SetFleet({});
     cr_expect(directory.AddressesFor({"north", "d1", {}}).empty());
   }
--- a/tests/load_exchange_test.cc
+++ b/tests/load_exchange_test.cc
@@ -1,4 +1,4 @@
-/// @file load_exchange_test.cc Loads told from one entry VM to another.
+/// @file load_exchange_test.cc Exchange of server loads between entry VMs.
 
 #include "proxy/load_exchange.h"
 
@@ -13,10 +13,10 @@
 namespace sorrelplank {
 namespace {
 
-/// Two exchanges on loopback that name each other as peers.
+/// Two exchanges on loopback; the first one sends to the second.
 struct ExchangeFixture {
   asio::io_context m_io{1};
-  /// Tests run side by side, each in a process of its own.
+  /// Differs per process, since tests run in parallel processes.
   const uint32_t m_network =
       0x7f4e0000U + ((static_cast<uint32_t>(getpid()) & 0x7fffU) << 1U);
   const VmAddress m_first_address{m_network, 7540};
@@ -42,7 +42,7 @@
 TestSuite(LoadExchange, .init = SetUp, .fini = TearDown);
 
 Test(LoadExchange, Loads_Told_ArriveAtThePeer) {
-  g_fixture->m_first.Tell(
+  g_fixture->m_first.SendLoads(
       {{HashName("i-1"), {.m_running = 3, .m_waiting = 7}, milliseconds(40)}},
       TimePoint(seconds(1)));
   while (g_fixture->m_received.empty()) {
@@ -57,28 +57,28 @@
 
 Test(LoadExchange, Told_AMomentAgo_IsNotDue) {
   const TimePoint now(seconds(1));
-  g_fixture->m_first.Tell({}, now);
+  g_fixture->m_first.SendLoads({}, now);
   cr_assert_not(g_fixture->m_first.IsDue(now + milliseconds(50)));
   cr_assert(g_fixture->m_first.IsDue(now + milliseconds(60)));
 }
 
-// Thirty peers at 100 bytes each: told every 60 ms, they would cost 50 KB/s.
+// Sending to 30 peers at 100 bytes each every 60 ms would use 50 KB/s.
 Test(LoadExchange, ManyPeers_Told_KeepsToTheBoundOnBytes) {
   const TimePoint now(seconds(1));
   g_fixture->m_first.SetPeers(
       std::vector<VmAddress>(30, g_fixture->m_second_address));
-  g_fixture->m_first.Tell({}, now);
+  g_fixture->m_first.SendLoads({}, now);
   cr_assert_not(g_fixture->m_first.IsDue(now + milliseconds(200)));
   cr_assert(g_fixture->m_first.IsDue(now + milliseconds(250)));
 }
 
-// Anybody can send a datagram to the port. What is no message, or has rows with
-// fields left out, is taken as nothing.
+// Anyone can send datagrams to the port. An invalid message, or one whose
+// fields differ in length, must be ignored.
 Test(LoadExchange, Datagram_Malformed_IsNothing) {
-  const std::string whole =
+  const std::string encoded =
       EncodeLoads({{HashName("i-1"), {.m_running = 1}, {}}});
-  for (size_t length = 0; length < whole.size(); ++length) {
-    cr_assert_eq(DecodeLoads(whole.data(), length).size(), 0, "%zu", length);
+  for (size_t length = 0; length < encoded.size(); ++length) {
+    cr_assert_eq(DecodeLoads(encoded.data(), length).size(), 0, "%zu", length);
   }
   const std::string noise(300, '\xff');
   cr_assert_eq(DecodeLoads(noise.data(), noise.size()).size(), 0);
@@ -91,9 +91,9 @@
   cr_assert_leq(EncodeLoads(loads).size(), 1400);
 }
 
-// Another VM was told that a server is full. This one, which has sent it
-// nothing for long, sends a request on its object to the other server.
-Test(LoadExchange, Server_FullByWordOfAnotherVm_IsLeftForTheOther) {
+// Another VM reports that a server is full. This VM, which has not sent to it
+// for some time, must send a request on the server's object to the other one.
+Test(LoadExchange, Server_ReportedFullByAnotherVm_IsAvoided) {
   SteeringFixture fixture;
   fixture.Arrive("/read/x", 5);
   const std::string first = fixture.Last<SendToServer>()->m_instance;
@@ -107,10 +107,10 @@
                     first.c_str());
 }
 
-// A server takes half a second for a request and was told to have twelve in its
-// queue 300 ms ago. Its two slots cannot have served them: a request on its
-// object goes to the other server instead of waiting there past its target.
-Test(LoadExchange, SlowServer_LongQueueAMomentAgo_IsLeftForTheOther) {
+// A server needs half a second per request and reported twelve waiting ones
+// 300 ms ago. Its two slots cannot have served them yet: a request on its
+// object must go to the other server instead of exceeding its target latency.
+Test(LoadExchange, SlowServer_RecentLongQueue_IsAvoided) {
   SteeringFixture fixture;
   fixture.Arrive("/read/x", 5);
   const SendToServer first = *fixture.Last<SendToServer>();
@@ -129,7 +129,8 @@
                     first.m_instance.c_str());
 }
 
-// A report that this VM received itself is newer than what it is told.
+// A report received from another VM must not replace a newer one that this VM
+// received itself.
 Test(LoadExchange, OlderLoad_Told_ChangesNothing) {
   ServerTrack server({"a", "s", {1, 80}, "d1", 2, false, {}}, 0, TimePoint());
   const TimePoint now(seconds(10));
--- a/tests/load_peers_test.cc
+++ b/tests/load_peers_test.cc
@@ -1,4 +1,4 @@
-/// @file load_peers_test.cc Which entry VMs are told loads.
+/// @file load_peers_test.cc Selection of the peers for the load exchange.
 
 #include <criterion/criterion.h>
 
@@ -24,7 +24,7 @@
 }
 
 Test(LoadPeers, LargeFleet_Chosen_OwnRegionIsTold) {
-  std::vector<FleetMember> fleet(kMostLoadPeers, kFar);
+  std::vector<FleetMember> fleet(kMaxLoadPeers, kFar);
   fleet.push_back(kOwn);
   fleet.push_back(kNear);
   cr_assert_eq(ChooseLoadPeers(fleet, kOwn, kPort).size(), 1);
--- a/tests/request_digest_test.cc
+++ b/tests/request_digest_test.cc
@@ -1,18 +1,18 @@
-/// @file request_digest_test.cc What makes two requests the same one.
+/// @file request_digest_test.cc Which requests have equal digests.
 
 #include <criterion/criterion.h>
 
 #include <string>
 
 #include "net/http_message_type.h"
-#include "proxy/proxy_names_type.h"
+#include "proxy/proxy_header_names_type.h"
 #include "proxy/request_digest_func.h"
 
 namespace sorrelplank {
 namespace {
 
-ProxyNames MakeNames() {
-  ProxyNames names;
+ProxyHeaderNames MakeNames() {
+  ProxyHeaderNames names;
   names.m_request_id = "our-request-id";
   names.m_deadline_ms = "x-time-left";
   names.m_expected_instance = "our-instance";
@@ -38,8 +38,9 @@
 bool IsSameAfter(const Change& change) {
   HttpRequest request = MakeRequest();
   change(request);
-  const ProxyNames names = MakeNames();
-  return DigestOf(request, names) == DigestOf(MakeRequest(), names);
+  const ProxyHeaderNames names = MakeNames();
+  return ComputeRequestDigest(request, names) ==
+         ComputeRequestDigest(MakeRequest(), names);
 }
 
 Test(RequestDigest, OtherIdTimeAndConnection_Digest_IsTheSame) {
@@ -63,17 +64,18 @@
   cr_assert_not(IsSameAfter([](HttpRequest& one) { one.m_body += "0"; }));
 }
 
-// A request that ends servers is repeated from several addresses, of clients in
-// all regions. Each address has three servers to end, and then three more.
-// With the address in the digest 22 and 29 servers ended under two of them,
-// which came to VMs of all three regions; a client is told of those of its own.
+// Clients in all regions repeat a request that crashes servers, from several
+// addresses. With the address in the digest, each address could crash three
+// servers and then three more: two such requests crashed 22 and 29 servers.
+// They arrived at VMs of all three regions, although the directory names a
+// client only the VMs of its own region.
 Test(RequestDigest, OtherAddress_Digest_IsTheSame) {
   cr_assert(
       IsSameAfter([](HttpRequest& request) { request.m_remote_ip += 1; }));
 }
 
-// Taken together without their lengths, two parts could be moved into one
-// another by a client, and its request would pass for another one.
+// Without the lengths, a client could shift text between two parts and produce
+// the digest of another request.
 Test(RequestDigest, SameTextInOtherParts_Digest_Differs) {
   cr_assert_not(IsSameAfter([](HttpRequest& one) {
     one.m_method = "POST/desk";
@@ -90,24 +92,28 @@
   cr_assert_not(ParseDigest(std::string(32, 'g')).has_value());
 }
 
-// An organisation has two keys, and its request that ends servers comes with
-// either. Taken for two requests, it would end twice as many.
+// An organisation sends a request that crashes servers with either of its two
+// keys. Treated as two requests, it would crash twice as many servers.
 Test(RequestDigest, OtherKeyOfTheOrganisation_Digest_IsTheSame) {
-  const CallerIdentity acme{.m_organisation = "acme", .m_hides_key = true};
-  ProxyNames names = MakeNames();
+  const CallerIdentity acme{.m_organisation = "acme",
+                            .m_excludes_credentials = true};
+  ProxyHeaderNames names = MakeNames();
   names.m_credentials = "authorization";
   HttpRequest request = MakeRequest();
   request.m_headers["authorization"] = "b";
-  cr_assert_eq(DigestOf(request, names, acme),
-               DigestOf(MakeRequest(), names, acme));
+  cr_assert_eq(ComputeRequestDigest(request, names, acme),
+               ComputeRequestDigest(MakeRequest(), names, acme));
 }
 
-// Two organisations ask the same. One must not hold back the other.
+// Two organisations send the same request. Holding back that of one must not
+// affect the other.
 Test(RequestDigest, OtherOrganisation_Digest_Differs) {
-  const CallerIdentity acme{.m_organisation = "acme", .m_hides_key = true};
-  const CallerIdentity byte{.m_organisation = "byte", .m_hides_key = true};
-  cr_assert_neq(DigestOf(MakeRequest(), MakeNames(), acme),
-                DigestOf(MakeRequest(), MakeNames(), byte));
+  const CallerIdentity acme{.m_organisation = "acme",
+                            .m_excludes_credentials = true};
+  const CallerIdentity byte{.m_organisation = "byte",
+                            .m_excludes_credentials = true};
+  cr_assert_neq(ComputeRequestDigest(MakeRequest(), MakeNames(), acme),
+                ComputeRequestDigest(MakeRequest(), MakeNames(), byte));
 }
 
 }  // namespace
--- a/tests/front_test.cc
+++ b/tests/request_proxy_test.cc
@@ -1,6 +1,6 @@
-/// @file front_test.cc A client's request through to a server and back.
+/// @file request_proxy_test.cc Forwarding of requests and responses.
 
-#include "proxy/front.h"
+#include "proxy/request_proxy.h"
 
 #include <criterion/criterion.h>
 #include <unistd.h>
@@ -18,7 +18,7 @@
 
 using asio::ip::tcp;
 
-ProxyNames Names() {
+ProxyHeaderNames Names() {
   return {.m_request_id = "id",
           .m_deadline_ms = "deadline",
           .m_expected_instance = "expect-instance",
@@ -41,13 +41,14 @@
           .m_retry_window = seconds(10)};
 }
 
-/// A front with one route, and one backend server that answers once.
+/// A proxy with one route, and a backend server that accepts one connection and
+/// answers each read with m_answer.
 struct FrontFixture {
   asio::io_context m_io{1};
   int m_pipe[2] = {-1, -1};
   std::unique_ptr<DecisionLog> m_log;
   ProxyMetrics m_metrics{"vm-1"};
-  std::unique_ptr<Front> m_front;
+  std::unique_ptr<RequestProxy> m_front;
   std::shared_ptr<const RoutingTable> m_table;
   tcp::acceptor m_acceptor{m_io,
                            tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
@@ -61,8 +62,8 @@
   FrontFixture() {
     cr_assert_eq(pipe(m_pipe), 0);
     m_log = std::make_unique<DecisionLog>("vm-1", m_pipe[1]);
-    m_front = std::make_unique<Front>(m_io, MakeSettings(), Names(), *m_log,
-                                      m_metrics);
+    m_front = std::make_unique<RequestProxy>(m_io, MakeSettings(), Names(),
+                                             *m_log, m_metrics);
     auto table = std::make_shared<RoutingTable>();
     table->m_version = 1;
     table->m_routes = {{.m_name = "r",
@@ -79,17 +80,18 @@
     table->m_limits.m_header_bytes = 1000;
     const TimePoint now;
     m_table = table;
-    m_front->Decisions().Install(table, now);
-    m_front->Decisions().PutServer({"i-1",
-                                    "s",
-                                    {asio::ip::address_v4::loopback().to_uint(),
-                                     m_acceptor.local_endpoint().port()},
-                                    "d1",
-                                    4,
-                                    false,
-                                    {}},
-                                   now);
-    m_front->Decisions().Tick(now + seconds(1));
+    m_front->GetSteering().Install(table, now);
+    m_front->GetSteering().PutServer(
+        {"i-1",
+         "s",
+         {asio::ip::address_v4::loopback().to_uint(),
+          m_acceptor.local_endpoint().port()},
+         "d1",
+         4,
+         false,
+         {}},
+        now);
+    m_front->GetSteering().Tick(now + seconds(1));
     m_acceptor.async_accept(m_peer, [this](std::error_code error) {
       if (!error) {
         Read();
@@ -118,7 +120,7 @@
                            });
   }
 
-  /// From now on requests need the key "secret".
+  /// Installs a table in which requests need the key "secret".
   void InstallOrganisation() {
     auto table = std::make_shared<RoutingTable>(*m_table);
     ++table->m_version;
@@ -126,7 +128,7 @@
                                .m_keys = {"secret"},
                                .m_priority = std::nullopt,
                                .m_home_regions = {}}};
-    m_front->Decisions().Install(table, TimePoint());
+    m_front->GetSteering().Install(table, TimePoint());
   }
 
   static HttpRequest Request() {
@@ -175,9 +177,9 @@
   g_fixture.reset();
 }
 
-TestSuite(Front, .init = SetUp, .fini = TearDown, .timeout = 30);
+TestSuite(RequestProxy, .init = SetUp, .fini = TearDown, .timeout = 30);
 
-Test(Front, Request_Forwarded_KeepsWhatIsTheClients) {
+Test(RequestProxy, Request_Forwarded_KeepsWhatIsTheClients) {
   g_fixture->m_answer =
       "HTTP/1.1 201 X\r\nid: r1\r\nstamp: s\r\nload: 1,0,4\r\n"
       "custom: c\r\ncontent-length: 2\r\n\r\nok";
@@ -202,9 +204,9 @@
   cr_assert(has_stamp);
 }
 
-// Organisations have keys. The key must not reach a server, and what a client
-// says of its organisation must not either.
-Test(Front, RequestWithKey_Forwarded_NamesOrganisationAndHidesKey) {
+// If organisations have keys, neither the key nor an organisation named by the
+// client may reach a server.
+Test(RequestProxy, RequestWithKey_Forwarded_NamesOrganisationAndHidesKey) {
   g_fixture->m_answer =
       "HTTP/1.1 200 X\r\nid: r1\r\nstamp: s\r\ncontent-length: 0\r\n\r\n";
   g_fixture->InstallOrganisation();
@@ -219,7 +221,7 @@
   cr_assert_not(g_fixture->Received("forged"));
 }
 
-Test(Front, NoOrganisations_Forwarded_KeepsCredentials) {
+Test(RequestProxy, NoOrganisations_Forwarded_KeepsCredentials) {
   g_fixture->m_answer =
       "HTTP/1.1 200 X\r\nid: r1\r\nstamp: s\r\ncontent-length: 0\r\n\r\n";
   HttpRequest request = FrontFixture::Request();
@@ -229,7 +231,7 @@
   cr_assert(g_fixture->Received("authorization: Basic mine\r\n"));
 }
 
-Test(Front, UnknownKey_Answer_Is401WithTheScheme) {
+Test(RequestProxy, UnknownKey_Answer_Is401WithTheScheme) {
   g_fixture->InstallOrganisation();
   g_fixture->Accept(FrontFixture::Request());
   cr_assert_eq(g_fixture->m_reply->m_status, 401);
@@ -238,9 +240,9 @@
   cr_assert_not_null(scheme);
 }
 
-// The client gives up and closes its connection. The server must learn of it,
-// or it works on for nobody.
-Test(Front, Client_Leaves_ServersConnectionIsClosed) {
+// When the client closes its connection, the connection to the server must be
+// closed as well, or the server would continue useless work.
+Test(RequestProxy, Client_Leaves_ServersConnectionIsClosed) {
   g_fixture->Accept(FrontFixture::Request());
   g_fixture->RunUntil([] { return !g_fixture->m_received.empty(); });
   g_fixture->m_front->ClientClosed(9);
@@ -248,7 +250,7 @@
   cr_assert_not(g_fixture->m_reply.has_value());
 }
 
-Test(Front, Stopping_Answer_ClosesTheConnection) {
+Test(RequestProxy, Stopping_Answer_ClosesTheConnection) {
   g_fixture->m_answer =
       "HTTP/1.1 200 X\r\nid: r1\r\nstamp: s\r\ncontent-length: 0\r\n\r\n";
   g_fixture->m_front->SetStopping();
@@ -257,11 +259,11 @@
   cr_assert(g_fixture->m_reply->m_close);
 }
 
-/// A request that is refused before any decision.
+/// A modification that makes a request invalid, and the expected status.
 struct BadRequest {
   const char* m_what;
   int m_status;
-  void (*m_spoil)(HttpRequest&);
+  void (*m_modify)(HttpRequest&);
 };
 
 constexpr BadRequest kBadRequests[] = {
@@ -273,10 +275,10 @@
      [](HttpRequest& r) { r.m_headers["other"].assign(1000, 'x'); }},
     {"no route", 404, [](HttpRequest& r) { r.m_path = "/z/"; }}};
 
-Test(Front, BadRequest_EachKind_IsAnsweredAtOnce) {
+Test(RequestProxy, BadRequest_EachKind_IsAnsweredAtOnce) {
   for (const BadRequest& bad : kBadRequests) {
     HttpRequest request = FrontFixture::Request();
-    bad.m_spoil(request);
+    bad.m_modify(request);
     g_fixture->m_reply.reset();
     g_fixture->Accept(std::move(request));
     cr_assert(g_fixture->m_reply.has_value(), "%s", bad.m_what);
@@ -284,10 +286,10 @@
   }
 }
 
-// No server is left: the client is told at once that nothing ran, and when to
-// come back.
-Test(Front, NoServer_Refusal_SaysWhenToComeBack) {
-  g_fixture->m_front->Decisions().RemoveServer("i-1", TimePoint());
+// Without any server, the client must be told immediately that nothing ran and
+// when to retry.
+Test(RequestProxy, NoServer_Refusal_SaysWhenToComeBack) {
+  g_fixture->m_front->GetSteering().RemoveServer("i-1", TimePoint());
   g_fixture->Accept(FrontFixture::Request());
   cr_assert_eq(g_fixture->m_reply->m_status, 503);
   cr_assert_str_eq(g_fixture->m_reply->m_headers.back().first.c_str(),
--- a/tests/server_connection_test.cc
+++ b/tests/server_connection_test.cc
@@ -1,4 +1,4 @@
-/// @file server_connection_test.cc Sends to a server that misbehaves.
+/// @file server_connection_test.cc Handling of faulty server responses.
 
 #include "proxy/server_connection.h"
 
@@ -10,22 +10,22 @@
 #include <string>
 #include <vector>
 
-#include "proxy/proxy_names_type.h"
-#include "proxy/reply_judge_func.h"
+#include "proxy/proxy_header_names_type.h"
+#include "proxy/reply_classifier_func.h"
 
 namespace sorrelplank {
 namespace {
 
 using asio::ip::tcp;
 
-/// What the scripted server does with one request.
+/// Reaction of the scripted server to one request.
 struct Step {
   std::string m_answer;
   bool m_closes = false;
   bool m_resets = false;
 };
 
-ProxyNames Names() {
+ProxyHeaderNames Names() {
   return {.m_request_id = "id",
           .m_deadline_ms = "deadline",
           .m_expected_instance = "expect",
@@ -45,7 +45,7 @@
          "\r\n\r\n" + body;
 }
 
-/// A server on loopback that follows a script, and one connection to it.
+/// A scripted server on loopback and one connection to it.
 struct ConnectionFixture {
   asio::io_context m_io{1};
   tcp::acceptor m_acceptor{m_io,
@@ -74,12 +74,12 @@
     m_peer.async_read_some(asio::buffer(m_buffer),
                            [this](std::error_code error, size_t) {
                              if (!error && m_next_step < m_script.size()) {
-                               Play(m_script[m_next_step++]);
+                               RunStep(m_script[m_next_step++]);
                              }
                            });
   }
 
-  void Play(const Step& step) {
+  void RunStep(const Step& step) {
     asio::write(m_peer, asio::buffer(step.m_answer));
     if (step.m_resets) {
       m_peer.set_option(asio::socket_base::linger(true, 0));
@@ -93,16 +93,16 @@
 
   AttemptEnd Send(const std::string& id) {
     m_reply.reset();
-    ServerSend send;
+    ServerRequest send;
     send.m_bytes = "GET / HTTP/1.1\r\nid: " + id + "\r\n\r\n";
     send.m_request_id = id;
     send.m_request_id_name = "id";
-    send.m_most_answer_bytes = 1000;
+    send.m_max_response_bytes = 1000;
     m_connection->Send(std::move(send), seconds(1), [this](ServerReply reply) {
       m_reply = std::move(reply);
     });
     RunUntil([this] { return m_reply.has_value(); });
-    return JudgeReply(*m_reply, Names()).m_end;
+    return ClassifyReply(*m_reply, Names()).m_end;
   }
 
   template <typename Condition>
@@ -133,12 +133,12 @@
   cr_assert(g_fixture->m_connection->IsReusable());
   cr_assert_eq(g_fixture->Send("2"), AttemptEnd::kAnswered);
   cr_assert_str_eq(g_fixture->m_reply->m_response.m_body.c_str(), "two");
-  cr_assert(g_fixture->m_reply->m_kept_connection);
+  cr_assert(g_fixture->m_reply->m_is_reused_connection);
 }
 
-// The server answers a first request twice, the second time late: where the
-// next request's answer is expected. Its client must get its own answer, which
-// follows, and never the stray one.
+// The server answers the first request twice, the second time when the response
+// to the next request is expected. The next request must get its own response,
+// which follows, and never the duplicate.
 Test(ServerConnection, LateSecondAnswer_NextRequest_GetsItsOwn) {
   g_fixture->m_script = {{Answer(200, "1", "stamp: s\r\n", "one")},
                          {Answer(200, "1", "stamp: s\r\n", "one") +
@@ -149,7 +149,7 @@
   cr_assert_not(g_fixture->m_connection->IsReusable());
 }
 
-// Bytes arrive on a kept connection while nothing was asked.
+// Unsolicited bytes arrive on an idle connection.
 Test(ServerConnection, BytesWhileIdle_NothingAsked_ConnectionEnds) {
   g_fixture->m_script = {{Answer(200, "1", "stamp: s\r\n", "one")}};
   g_fixture->Send("1");
@@ -165,15 +165,15 @@
   cr_assert_not(g_fixture->m_connection->IsReusable());
 }
 
-/// An answer and what it proves.
+/// A reply and its expected classification.
 struct EndCase {
   const char* m_what;
   Step m_step;
   AttemptEnd m_end;
 };
 
-// Only a server's own word proves that a request did not run.
-Test(ServerConnection, EachEnd_OfOneRequest_ProvesWhatItProves) {
+// Only a response of the server itself proves that a request did not run.
+Test(ServerConnection, EachReplyKind_OfOneRequest_IsClassified) {
   const EndCase cases[] = {
       {"rejected",
        {Answer(503, "1", "not-run: 1\r\n", "")},
@@ -221,7 +221,8 @@
   cr_assert_not(load->m_work_percent.has_value());
 }
 
-// Guards against losing all loads of servers that tell more than three figures.
+// Guards against ignoring the loads of servers that report more than three
+// numbers.
 Test(ServerConnection, Load_MoreThanThreeNumbers_IsRead) {
   for (const char* text : {"3,1,8,250", "3,1,8,250,7", "3,1,8,250,7,0"}) {
     const auto load = ParseLoad(text);
--- a/tests/server_notice_test.cc
+++ b/tests/server_notice_test.cc
@@ -3,8 +3,8 @@
 #include <criterion/criterion.h>
 
 #include "net/http_message_type.h"
-#include "proxy/proxy_names_type.h"
-#include "proxy/reply_judge_func.h"
+#include "proxy/proxy_header_names_type.h"
+#include "proxy/reply_classifier_func.h"
 #include "proxy/server_notice_func.h"
 #include "proxy/server_reply_type.h"
 #include "steer/server_notices.h"
@@ -13,7 +13,7 @@
 namespace {
 
 struct NoticeFixture {
-  ProxyNames m_names;
+  ProxyHeaderNames m_names;
   HttpResponse m_answer;
   ServerNotices m_notices;
   TimePoint m_now{seconds(100)};
@@ -23,7 +23,7 @@
     m_names.m_leaving = {"leaving"};
   }
 
-  ServerNotice Read() const { return ReadServerNotice(m_answer, m_names); }
+  ServerNotice Read() const { return ParseServerNotice(m_answer, m_names); }
   void AddLimit(const char* text) {
     m_answer.m_headers.emplace_back("limit", text);
   }
@@ -133,10 +133,10 @@
   NoticeFixture fixture;
   fixture.AddLimit("1");
   ServerReply reply;
-  reply.m_end = ReplyEnd::kWhole;
+  reply.m_end = ReplyEnd::kComplete;
   reply.m_response = fixture.m_answer;
   reply.m_response.m_status = 421;
-  cr_assert(!JudgeReply(reply, fixture.m_names).m_notice);
+  cr_assert(!ClassifyReply(reply, fixture.m_names).m_notice);
 }
 
 Test(ServerNotice, LimitNoLongerNamed_LaterAnswer_EndsIt) {
--- a/tests/server_probe_test.cc
+++ b/tests/server_probe_test.cc
@@ -1,4 +1,4 @@
-/// @file server_probe_test.cc Whether a server that lost an answer has ended.
+/// @file server_probe_test.cc Detection of servers that no longer listen.
 
 #include "proxy/server_probe.h"
 
@@ -18,7 +18,7 @@
       io, [&found](ServerReach reach) { found = reach; });
   probe->Start({asio::ip::address_v4::loopback().to_uint(), port}, seconds(10));
   while (!found) {
-    cr_assert_gt(io.run_one(), 0, "the probe told nothing");
+    cr_assert_gt(io.run_one(), 0, "the probe did not call its handler");
   }
   return *found;
 }
--- a/tests/steering_overload_test.cc
+++ b/tests/steering_overload_test.cc
@@ -4,8 +4,8 @@
 
 #include <memory>
 
-#include "proxy/proxy_names_type.h"
-#include "proxy/reply_judge_func.h"
+#include "proxy/proxy_header_names_type.h"
+#include "proxy/reply_classifier_func.h"
 #include "proxy/server_reply_type.h"
 #include "tests/steering_fixture.h"
 
@@ -68,13 +68,13 @@
 }
 
 Test(SteeringOverload, Answer504OfAServer_Judged_IsOutOfTime) {
-  ProxyNames names;
+  ProxyHeaderNames names;
   names.m_stamp = "stamp";
   ServerReply reply;
-  reply.m_end = ReplyEnd::kWhole;
+  reply.m_end = ReplyEnd::kComplete;
   reply.m_response.m_status = 504;
   reply.m_response.m_headers = {{"stamp", "s"}};
-  cr_assert_eq(JudgeReply(reply, names).m_end, AttemptEnd::kOutOfTime);
+  cr_assert_eq(ClassifyReply(reply, names).m_end, AttemptEnd::kOutOfTime);
 }
 
 // The same where this VM ends the requests at their routes' timeouts.
--- a/tests/store_knowledge_test.cc
+++ b/tests/store_knowledge_test.cc
@@ -11,8 +11,8 @@
 
 #include "platform/decode_func.h"
 #include "proxy/decision_log.h"
-#include "proxy/front.h"
 #include "proxy/proxy_metrics.h"
+#include "proxy/request_proxy.h"
 
 namespace sorrelplank::platform {
 namespace {
@@ -23,7 +23,7 @@
   int m_pipe[2] = {-1, -1};
   std::unique_ptr<DecisionLog> m_log;
   ProxyMetrics m_metrics{"vm-1"};
-  std::unique_ptr<Front> m_front;
+  std::unique_ptr<RequestProxy> m_front;
   std::unique_ptr<StoreKnowledge> m_knowledge;
   int m_own_removed = 0;
   TimePoint m_now{seconds(1)};
@@ -37,8 +37,8 @@
     settings.m_failure_domain = "d1";
     settings.m_region = "r1";
     settings.m_regions = {{"d1", "r1"}};
-    m_front = std::make_unique<Front>(m_io, settings, ProxyNames(), *m_log,
-                                      m_metrics);
+    m_front = std::make_unique<RequestProxy>(m_io, settings, ProxyHeaderNames(),
+                                             *m_log, m_metrics);
     m_knowledge = std::make_unique<StoreKnowledge>(
         *m_front, *m_log, "fleet/vm-1", [this] { ++m_own_removed; });
   }
@@ -70,9 +70,9 @@
             "born":1792250284924})");
   }
 
-  size_t Servers() const { return m_front->Decisions().ServerCount(); }
+  size_t Servers() const { return m_front->GetSteering().ServerCount(); }
 
-  uint64_t Version() const { return m_front->Decisions().Table()->m_version; }
+  uint64_t Version() const { return m_front->GetSteering().Table()->m_version; }
 };
 
 std::unique_ptr<KnowledgeFixture> g_fixture;
@@ -105,9 +105,9 @@
   g_fixture->PutSoundServer("i-1");
   g_fixture->Put("servers/i-2", R"({"Service":"s","Address":"nowhere",
                                     "Zone":"d1"})");
-  cr_assert_eq(g_fixture->m_front->Decisions().ServerCount(), 1);
+  cr_assert_eq(g_fixture->m_front->GetSteering().ServerCount(), 1);
   g_fixture->Remove("servers/i-1");
-  cr_assert_eq(g_fixture->m_front->Decisions().ServerCount(), 0);
+  cr_assert_eq(g_fixture->m_front->GetSteering().ServerCount(), 0);
 }
 
 // Something else writes over the entry of a server that was known. What is read
@@ -140,9 +140,9 @@
 
 Test(StoreKnowledge, Evacuation_PutAndRemoved_IsFollowed) {
   g_fixture->Put("op/evacuate/d1", "{}");
-  cr_assert(g_fixture->m_front->Decisions().Picker().IsEvacuated("d1"));
+  cr_assert(g_fixture->m_front->GetSteering().Picker().IsEvacuated("d1"));
   g_fixture->Remove("op/evacuate/d1");
-  cr_assert_not(g_fixture->m_front->Decisions().Picker().IsEvacuated("d1"));
+  cr_assert_not(g_fixture->m_front->GetSteering().Picker().IsEvacuated("d1"));
 }
 
 }  // namespace
