--- a/src/proxy/request_proxy.cc
+++ b/src/proxy/request_proxy.cc
@@ -125,7 +125,7 @@
 
 CallerIdentity RequestProxy::IdentifyCaller(const RequestFacts& facts) const {
   const RoutingTable* table = m_steering.Table();
-  // As long as no table is known, the key must be left out of the digest, since
+  // As long as no table is known, the digest must not contain the key, since
   // digests are written to logs and to the store.
   CallerIdentity caller;
   caller.m_excludes_credentials =
@@ -137,12 +137,12 @@
 
 void RequestProxy::ClientClosed(uint64_t connection) {
   const auto [first, last] = m_requests_by_connection.equal_range(connection);
-  std::vector<RequestId> left;
+  std::vector<RequestId> given_up;
   for (auto it = first; it != last; ++it) {
-    left.push_back(it->second);
+    given_up.push_back(it->second);
   }
   m_requests_by_connection.erase(first, last);
-  for (const RequestId id : left) {
+  for (const RequestId id : given_up) {
     const auto it = m_open_requests.find(id);
     if (it == m_open_requests.end()) {
       continue;
@@ -301,7 +301,7 @@
   if (row.m_status == 503 || row.m_status == 429) {
     response.m_headers.emplace_back("Retry-After", retry_after);
   }
-  // Closing the connection makes the client send its next request to another
+  // Close the connection, so that the client sends its next request to another
   // VM.
   response.m_close = action.m_reason == SteerRefusal::kNotReady;
   response.m_body = fmt::format(R"({{"error":"{}"}})", row.m_name);
--- a/tests/load_exchange_test.cc
+++ b/tests/load_exchange_test.cc
@@ -41,7 +41,7 @@
 
 TestSuite(LoadExchange, .init = SetUp, .fini = TearDown);
 
-Test(LoadExchange, Loads_Told_ArriveAtThePeer) {
+Test(LoadExchange, Loads_Sent_ArriveAtThePeer) {
   g_fixture->m_first.SendLoads(
       {{HashName("i-1"), {.m_running = 3, .m_waiting = 7}, milliseconds(40)}},
       TimePoint(seconds(1)));
@@ -55,7 +55,7 @@
   cr_assert_eq(load.m_age, Duration(milliseconds(40)));
 }
 
-Test(LoadExchange, Told_AMomentAgo_IsNotDue) {
+Test(LoadExchange, LoadsSent_WithinMinInterval_IsNotDue) {
   const TimePoint now(seconds(1));
   g_fixture->m_first.SendLoads({}, now);
   cr_assert_not(g_fixture->m_first.IsDue(now + milliseconds(50)));
@@ -63,7 +63,7 @@
 }
 
 // Sending to 30 peers at 100 bytes each every 60 ms would use 50 KB/s.
-Test(LoadExchange, ManyPeers_Told_KeepsToTheBoundOnBytes) {
+Test(LoadExchange, ManyPeers_LoadsSent_KeepsToTheBandwidthLimit) {
   const TimePoint now(seconds(1));
   g_fixture->m_first.SetPeers(
       std::vector<VmAddress>(30, g_fixture->m_second_address));
@@ -74,7 +74,7 @@
 
 // Anyone can send datagrams to the port. An invalid message, or one whose
 // fields differ in length, must be ignored.
-Test(LoadExchange, Datagram_Malformed_IsNothing) {
+Test(LoadExchange, Datagram_Malformed_IsIgnored) {
   const std::string encoded =
       EncodeLoads({{HashName("i-1"), {.m_running = 1}, {}}});
   for (size_t length = 0; length < encoded.size(); ++length) {
@@ -131,7 +131,7 @@
 
 // A report received from another VM must not replace a newer one that this VM
 // received itself.
-Test(LoadExchange, OlderLoad_Told_ChangesNothing) {
+Test(LoadExchange, OlderLoad_FromAnotherVm_ChangesNothing) {
   ServerTrack server({"a", "s", {1, 80}, "d1", 2, false, {}}, 0, TimePoint());
   const TimePoint now(seconds(10));
   server.TakeReport({.m_running = 1}, Duration::zero(), now);
@@ -140,7 +140,7 @@
   cr_assert_float_eq(*server.RecentLoad(now + milliseconds(50)), 1, 0.001);
 }
 
-Test(LoadExchange, Report_ToldOnce_IsNotToldAgain) {
+Test(LoadExchange, Report_SharedOnce_IsNotSharedAgain) {
   SteeringFixture fixture;
   fixture.Arrive("/read/x");
   const SendToServer send = *fixture.Last<SendToServer>();
--- a/tests/load_peers_test.cc
+++ b/tests/load_peers_test.cc
@@ -16,14 +16,14 @@
 
 // A region with few servers sends most of its requests to the servers of other
 // regions, whose VMs know their load.
-Test(LoadPeers, SmallFleet_Chosen_AllOthersAreTold) {
+Test(LoadPeers, SmallFleet_Chosen_AllOthersArePeers) {
   const auto peers = ChooseLoadPeers({kOwn, kNear, kFar}, kOwn, kPort);
   cr_assert_eq(peers.size(), 2);
   cr_assert_eq(peers[0].m_ip, 0x0a000002U);
   cr_assert_eq(peers[0].m_port, kPort);
 }
 
-Test(LoadPeers, LargeFleet_Chosen_OwnRegionIsTold) {
+Test(LoadPeers, LargeFleet_Chosen_OwnRegionArePeers) {
   std::vector<FleetMember> fleet(kMaxLoadPeers, kFar);
   fleet.push_back(kOwn);
   fleet.push_back(kNear);
--- a/tests/request_proxy_test.cc
+++ b/tests/request_proxy_test.cc
@@ -179,7 +179,7 @@
 
 TestSuite(RequestProxy, .init = SetUp, .fini = TearDown, .timeout = 30);
 
-Test(RequestProxy, Request_Forwarded_KeepsWhatIsTheClients) {
+Test(RequestProxy, Request_Forwarded_KeepsTheClientsFields) {
   g_fixture->m_answer =
       "HTTP/1.1 201 X\r\nid: r1\r\nstamp: s\r\nload: 1,0,4\r\n"
       "custom: c\r\ncontent-length: 2\r\n\r\nok";
@@ -288,7 +288,7 @@
 
 // Without any server, the client must be told immediately that nothing ran and
 // when to retry.
-Test(RequestProxy, NoServer_Refusal_SaysWhenToComeBack) {
+Test(RequestProxy, NoServer_Refusal_HasRetryAfter) {
   g_fixture->m_front->GetSteering().RemoveServer("i-1", TimePoint());
   g_fixture->Accept(FrontFixture::Request());
   cr_assert_eq(g_fixture->m_reply->m_status, 503);
--- a/tests/server_connection_test.cc
+++ b/tests/server_connection_test.cc
@@ -150,7 +150,7 @@
 }
 
 // Unsolicited bytes arrive on an idle connection.
-Test(ServerConnection, BytesWhileIdle_NothingAsked_ConnectionEnds) {
+Test(ServerConnection, BytesWhileIdle_Unsolicited_ConnectionEnds) {
   g_fixture->m_script = {{Answer(200, "1", "stamp: s\r\n", "one")}};
   g_fixture->Send("1");
   asio::write(g_fixture->m_peer, asio::buffer(std::string("HTTP/1.1 200")));
