--- a/tests/store_change_decoder_test.cc
+++ b/tests/store_change_decoder_test.cc
@@ -12,8 +12,8 @@
 
 #include "platform/decode_func.h"
 #include "proxy/decision_log.h"
-#include "proxy/front.h"
 #include "proxy/proxy_metrics.h"
+#include "proxy/request_proxy.h"
 
 namespace sorrelplank::platform {
 namespace {
@@ -24,7 +24,7 @@
   int m_pipe[2] = {-1, -1};
   std::unique_ptr<DecisionLog> m_log;
   ProxyMetrics m_metrics{"vm-1"};
-  std::unique_ptr<Front> m_proxy;
+  std::unique_ptr<RequestProxy> m_proxy;
   std::unique_ptr<StoreChangeDecoder> m_change_decoder;
   int m_own_removals = 0;
   TimePoint m_now{seconds(1)};
@@ -38,8 +38,8 @@
     settings.m_failure_domain = "d1";
     settings.m_region = "r1";
     settings.m_regions = {{"d1", "r1"}};
-    m_proxy = std::make_unique<Front>(m_io, settings, ProxyNames(), *m_log,
-                                      m_metrics);
+    m_proxy = std::make_unique<RequestProxy>(m_io, settings, ProxyHeaderNames(),
+                                             *m_log, m_metrics);
     m_change_decoder = std::make_unique<StoreChangeDecoder>(
         *m_proxy, *m_log, "fleet/vm-1", [this] { ++m_own_removals; });
   }
@@ -72,9 +72,9 @@
             "born":1792250284924})");
   }
 
-  size_t Servers() const { return m_proxy->Decisions().ServerCount(); }
+  size_t Servers() const { return m_proxy->GetSteering().ServerCount(); }
 
-  uint64_t Version() const { return m_proxy->Decisions().Table()->m_version; }
+  uint64_t Version() const { return m_proxy->GetSteering().Table()->m_version; }
 };
 
 std::unique_ptr<DecoderFixture> g_fixture;
@@ -107,9 +107,9 @@
   g_fixture->PutValidServer("i-1");
   g_fixture->Put("servers/i-2", R"({"Service":"s","Address":"nowhere",
                                     "Zone":"d1"})");
-  cr_assert_eq(g_fixture->m_proxy->Decisions().ServerCount(), 1);
+  cr_assert_eq(g_fixture->m_proxy->GetSteering().ServerCount(), 1);
   g_fixture->Remove("servers/i-1");
-  cr_assert_eq(g_fixture->m_proxy->Decisions().ServerCount(), 0);
+  cr_assert_eq(g_fixture->m_proxy->GetSteering().ServerCount(), 0);
 }
 
 // Something else overwrites the entry of a known server. The server must be
@@ -142,9 +142,9 @@
 
 Test(StoreChangeDecoder, Evacuation_PutAndRemoved_IsFollowed) {
   g_fixture->Put("op/evacuate/d1", "{}");
-  cr_assert(g_fixture->m_proxy->Decisions().Picker().IsEvacuated("d1"));
+  cr_assert(g_fixture->m_proxy->GetSteering().Picker().IsEvacuated("d1"));
   g_fixture->Remove("op/evacuate/d1");
-  cr_assert_not(g_fixture->m_proxy->Decisions().Picker().IsEvacuated("d1"));
+  cr_assert_not(g_fixture->m_proxy->GetSteering().Picker().IsEvacuated("d1"));
 }
 
 }  // namespace
