--- a/bench/steering_bench.cc
+++ b/bench/steering_bench.cc
@@ -39,7 +39,7 @@
                             .m_retry_window = seconds(10),
                             .m_cold_factor = 1.5,
                             .m_cold_slack = 10,
-                            .m_most_shift = 0.15};
+                            .m_max_shift = 0.15};
   for (int domain = 0; domain < kDomains; ++domain) {
     settings.m_regions[DomainOf(domain)] = RegionOf(domain);
   }
@@ -90,7 +90,7 @@
       MicrosecondsATick(*MakeSteering({}, now), now + seconds(3));
   ReportBench("regions_measured_calm", calm, "us", calm);
   const auto cut_off = MakeSteering({}, now);
-  cut_off->SetCutOff(true);
+  cut_off->SetDataStale(true);
   ReportBench("regions_measured_cut_off",
               MicrosecondsATick(*cut_off, now + seconds(3)), "us", calm);
   const auto cold = MakeSteering(seconds(60), now);
--- a/src/proxy/edge_settings.cc
+++ b/src/proxy/edge_settings.cc
@@ -137,7 +137,7 @@
       .m_retry_window = reader.Seconds("retry_window_s", kMostSeconds),
       .m_cold_factor = reader.Number("cold_factor", 0, kMostCount),
       .m_cold_slack = reader.Number("cold_slack", 0, kMostCount),
-      .m_most_shift = reader.Number("most_shift", 0, 1),
+      .m_max_shift = reader.Number("most_shift", 0, 1),
       .m_quotas = ReadQuotas(reader),
   };
 }
--- a/src/proxy/front.cc
+++ b/src/proxy/front.cc
@@ -171,7 +171,7 @@
   std::string bytes =
       fmt::format("{} {} HTTP/1.1\r\n", request.m_method, request.m_target);
   for (const auto& [name, value] : request.m_headers) {
-    const bool is_hidden = action.m_keeps_key && IsAboutCaller(name, m_names);
+    const bool is_hidden = action.m_strips_key && IsAboutCaller(name, m_names);
     if (IsPassedOn(name, m_names) && !is_hidden) {
       bytes += fmt::format("{}: {}\r\n", name, value);
     }
@@ -218,7 +218,7 @@
   const SendTarget target{.m_instance = action.m_instance,
                           .m_address = action.m_address,
                           .m_is_idempotent = action.m_idempotent,
-                          .m_most_kept = action.m_most_kept};
+                          .m_most_kept = action.m_max_idle_connections};
   m_pool.Send(action.m_attempt, target, std::move(send),
               [this, request = action.m_request,
                attempt = action.m_attempt](ServerReply reply) {
@@ -281,9 +281,9 @@
                {"waited_ms", LogMs(action.m_waited)},
                {"sends", int64_t{action.m_sends}},
                {"passed_over", int64_t{action.m_passed_over}},
-               {"line", static_cast<int64_t>(action.m_line.m_ahead)},
-               {"ends_per_second", action.m_line.m_ends_per_second},
-               {"usual_ms", LogMs(action.m_line.m_usual_latency)},
+               {"line", static_cast<int64_t>(action.m_queue.m_ahead)},
+               {"ends_per_second", action.m_queue.m_completions_per_second},
+               {"usual_ms", LogMs(action.m_queue.m_usual_latency)},
                {"retry_after_s", retry_after},
                {"config", static_cast<int64_t>(action.m_table_version)}});
   HttpResponse response;
@@ -301,12 +301,12 @@
   Answer(action.m_request, std::move(response), row.m_name);
 }
 
-void Front::Run(const BeliefChanged& action) {
-  m_log.Write(action.m_what,
+void Front::Run(const StateChanged& action) {
+  m_log.Write(action.m_event,
               {{"subject", action.m_subject}, {"value", action.m_value}});
 }
 
-void Front::Run(const SplitMoved& action) {
+void Front::Run(const RegionSplitChanged& action) {
   m_log.Write("own_region_share",
               {{"service", action.m_service},
                {"share", action.m_own_share},
@@ -319,7 +319,7 @@
   m_pool.Drop(action.m_instance);
 }
 
-void Front::Run(const CheckServerReach& action) {
+void Front::Run(const CheckServerReachable& action) {
   m_pool.Check(action.m_address, [this, instance = action.m_instance](
                                      ServerReach reach) {
     m_log.Write("server_checked",
--- a/src/proxy/front.h
+++ b/src/proxy/front.h
@@ -76,10 +76,10 @@
   void Run(const CancelSend& action);
   void Run(const ForwardServerAnswer& action);
   void Run(const RefuseRequest& action);
-  void Run(const BeliefChanged& action);
-  void Run(const SplitMoved& action);
+  void Run(const StateChanged& action);
+  void Run(const RegionSplitChanged& action);
   void Run(const ServerRestarted& action);
-  void Run(const CheckServerReach& action);
+  void Run(const CheckServerReachable& action);
   void Run(const RequestSuspected& action);
   void Run(const RequestHeld& action);
   void Run(const HoldEnded& action);
--- a/src/proxy/reply_judge.cc
+++ b/src/proxy/reply_judge.cc
@@ -30,7 +30,7 @@
     return AttemptEnd::kLost;
   }
   if (answer.m_status == kDeadlinePassed) {
-    return AttemptEnd::kOutOfTime;
+    return AttemptEnd::kDeadlineExceeded;
   }
   return answer.m_status >= 500 ? AttemptEnd::kServerError
                                 : AttemptEnd::kAnswered;
--- a/src/steer/attempt_report_type.h
+++ b/src/steer/attempt_report_type.h
@@ -13,13 +13,13 @@
 
 /// The kinds of end. They decide what a client may be told.
 enum class AttemptEnd : uint8_t {
-  kAnswered,       ///< A whole answer of the server's own.
-  kServerError,    ///< A whole answer of the server's own with a 5xx status.
-  kOutOfTime,      ///< The same, since the time that it was given ran out.
-  kRejected,       ///< The server says that it did not run the request.
-  kWrongInstance,  ///< Another server has the address; it did not run it.
-  kNotSent,        ///< Not one byte left this process.
-  kLost,           ///< Sent, and no whole answer came; it may have run.
+  kAnswered,          ///< A whole answer of the server's own.
+  kServerError,       ///< A whole answer of the server's own with a 5xx status.
+  kDeadlineExceeded,  ///< The same, since the time that it was given ran out.
+  kRejected,          ///< The server says that it did not run the request.
+  kWrongInstance,     ///< Another server has the address; it did not run it.
+  kNotSent,           ///< Not one byte left this process.
+  kLost,              ///< Sent, and no whole answer came; it may have run.
 };
 
 /// Whether the end proves that the request did not run.
--- a/src/steer/cold_senders.cc
+++ b/src/steer/cold_server_assignment.cc
@@ -1,6 +1,6 @@
-/// @file cold_senders.cc Groups of VMs, and answers that are kept.
+/// @file cold_server_assignment.cc Groups of VMs, and answers that are kept.
 
-#include "steer/cold_senders.h"
+#include "steer/cold_server_assignment.h"
 
 #include <xxhash.h>
 
@@ -14,7 +14,7 @@
 namespace {
 
 /// Answers that are kept; beyond it they are found anew.
-constexpr size_t kMostAnswers = 16384;
+constexpr size_t kMaxCachedAssignments = 16384;
 
 uint64_t Weight(uint64_t seed, const std::string& name) {
   return XXH3_64bits_withSeed(name.data(), name.size(), seed);
@@ -26,8 +26,9 @@
 
 }  // namespace
 
-ColdSenders::ColdSenders(std::map<std::string, std::string> regions,
-                         std::string own_vm)
+ColdServerAssignment::ColdServerAssignment(
+    std::map<std::string, std::string> regions,
+    std::string own_vm)
     : m_regions(std::move(regions)), m_own_vm(std::move(own_vm)) {
   for (const auto& [domain, region] : m_regions) {
     m_domains[domain];
@@ -35,7 +36,7 @@
   }
 }
 
-void ColdSenders::SetFleet(const std::vector<FleetMember>& fleet) {
+void ColdServerAssignment::SetFleet(const std::vector<FleetMember>& fleet) {
   std::map<std::string, std::vector<std::string>> domains;
   std::map<std::string, std::vector<std::string>> regions;
   std::vector<std::string> all;
@@ -53,14 +54,14 @@
   Replace(m_all, std::move(all));
 }
 
-void ColdSenders::Replace(Group& group, std::vector<std::string> vms) {
+void ColdServerAssignment::Replace(Group& group, std::vector<std::string> vms) {
   if (group.m_vms != vms) {
     group.m_vms = std::move(vms);
     group.m_generation = m_next_generation++;
   }
 }
 
-const ColdSenders::Group& ColdSenders::GroupOf(
+const ColdServerAssignment::Group& ColdServerAssignment::GroupOf(
     const std::string& failure_domain) const {
   const auto domain = m_domains.find(failure_domain);
   if (domain == m_domains.end()) {
@@ -73,30 +74,31 @@
   return region.m_vms.empty() ? m_all : region;
 }
 
-bool ColdSenders::IsOwn(const ServerEntry& server) {
+bool ColdServerAssignment::IsAssignedHere(const ServerEntry& server) {
   const Group& group = GroupOf(server.m_failure_domain);
-  const auto known = m_answers.find(server.m_instance);
-  const bool is_known = known != m_answers.end() &&
+  const auto known = m_cached.find(server.m_instance);
+  const bool is_known = known != m_cached.end() &&
                         known->second.m_group == &group &&
                         known->second.m_generation == group.m_generation;
   if (is_known) {
-    return known->second.m_is_own;
+    return known->second.m_is_assigned_here;
   }
-  if (m_answers.size() >= kMostAnswers) {
-    m_answers.clear();
+  if (m_cached.size() >= kMaxCachedAssignments) {
+    m_cached.clear();
   }
-  const bool is_own = FindIsOwn(server, group);
-  m_answers[server.m_instance] = {&group, group.m_generation, is_own};
+  const bool is_own = ComputeIsAssignedHere(server, group);
+  m_cached[server.m_instance] = {&group, group.m_generation, is_own};
   return is_own;
 }
 
-bool ColdSenders::FindIsOwn(const ServerEntry& server, const Group& group) {
+bool ColdServerAssignment::ComputeIsAssignedHere(const ServerEntry& server,
+                                                 const Group& group) {
   const bool is_among_them = std::find(group.m_vms.begin(), group.m_vms.end(),
                                        m_own_vm) != group.m_vms.end();
   if (!is_among_them) {
     return false;
   }
-  m_weighed += group.m_vms.size();
+  m_weights_computed += group.m_vms.size();
   const uint64_t own = NameWeight(server.m_instance, m_own_vm);
   return std::none_of(group.m_vms.begin(), group.m_vms.end(),
                       [&](const std::string& vm) {
--- a/src/steer/cold_senders.h
+++ b/src/steer/cold_server_assignment.h
@@ -1,7 +1,7 @@
-/// @file cold_senders.h Which entry VM sends to a cold server.
+/// @file cold_server_assignment.h Which entry VM sends to a cold server.
 
-#ifndef SORRELPLANK_STEER_COLD_SENDERS_H_
-#define SORRELPLANK_STEER_COLD_SENDERS_H_
+#ifndef SORRELPLANK_STEER_COLD_SERVER_ASSIGNMENT_H_
+#define SORRELPLANK_STEER_COLD_SERVER_ASSIGNMENT_H_
 
 #include <cstdint>
 #include <map>
@@ -22,15 +22,16 @@
 /// Load pattern: thousands of servers that are replaced, in a fleet of hundreds
 /// of VMs that change meanwhile. An answer is kept until a VM of those it was
 /// found among joins or leaves.
-class ColdSenders {
+class ColdServerAssignment {
  public:
   /// The regions of failure domains, and this VM.
-  ColdSenders(std::map<std::string, std::string> regions, std::string own_vm);
+  ColdServerAssignment(std::map<std::string, std::string> regions,
+                       std::string own_vm);
 
   void SetFleet(const std::vector<FleetMember>& fleet);
-  bool IsOwn(const ServerEntry& server);
+  bool IsAssignedHere(const ServerEntry& server);
   /// VMs that were weighed for a server so far.
-  uint64_t Weighed() const { return m_weighed; }
+  uint64_t WeightsComputed() const { return m_weights_computed; }
 
  private:
   /// VMs by name, in the fleet's order.
@@ -39,15 +40,15 @@
     /// Changes with the VMs.
     uint64_t m_generation = 0;
   };
-  struct Answer {
+  struct CachedAssignment {
     const Group* m_group;
     uint64_t m_generation;
-    bool m_is_own;
+    bool m_is_assigned_here;
   };
 
   /// Among whose VMs the sender of a domain's servers is found.
   const Group& GroupOf(const std::string& failure_domain) const;
-  bool FindIsOwn(const ServerEntry& server, const Group& group);
+  bool ComputeIsAssignedHere(const ServerEntry& server, const Group& group);
   void Replace(Group& group, std::vector<std::string> vms);
 
   std::map<std::string, std::string> m_regions;
@@ -57,10 +58,10 @@
   Group m_all;
   uint64_t m_next_generation = 1;
   /// By instance.
-  std::unordered_map<std::string, Answer> m_answers;
-  uint64_t m_weighed = 0;
+  std::unordered_map<std::string, CachedAssignment> m_cached;
+  uint64_t m_weights_computed = 0;
 };
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_COLD_SENDERS_H_
+#endif  // SORRELPLANK_STEER_COLD_SERVER_ASSIGNMENT_H_
--- a/src/steer/fading_mean.h
+++ b/src/steer/decaying_mean.h
@@ -1,7 +1,7 @@
-/// @file fading_mean.h A moving mean that is forgotten when samples stop.
+/// @file decaying_mean.h A moving mean that is forgotten when samples stop.
 
-#ifndef SORRELPLANK_STEER_FADING_MEAN_H_
-#define SORRELPLANK_STEER_FADING_MEAN_H_
+#ifndef SORRELPLANK_STEER_DECAYING_MEAN_H_
+#define SORRELPLANK_STEER_DECAYING_MEAN_H_
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 /// Mean over the last samples, for decisions that stop the samples themselves:
 /// a mean that stayed would keep a server that seemed full from ever being
 /// tried again.
-class FadingMean {
+class DecayingMean {
  public:
   void Add(double sample, TimePoint now) {
     const double before = Get(now);
@@ -22,11 +22,11 @@
 
   /// Zero before the first sample and long after the last one.
   double Get(TimePoint now) const {
-    const Duration age = now - m_sampled - kFresh;
+    const Duration age = now - m_sampled - kHoldTime;
     if (age <= Duration::zero()) {
       return m_value;
     }
-    const double left = 1 - ToMilliseconds(age) / ToMilliseconds(kFade);
+    const double left = 1 - ToMilliseconds(age) / ToMilliseconds(kDecayTime);
     return m_value * std::max(0.0, left);
   }
 
@@ -35,9 +35,9 @@
   static constexpr double kSampleWeight = 0.1;
   /// Kept whole for this long after a sample: a VM that sends eighteen requests
   /// a second to a service has a sample every 60 ms.
-  static constexpr Duration kFresh = milliseconds(200);
+  static constexpr Duration kHoldTime = milliseconds(200);
   /// Then gone within this time.
-  static constexpr Duration kFade = milliseconds(800);
+  static constexpr Duration kDecayTime = milliseconds(800);
 
   double m_value = 0;
   TimePoint m_sampled{};
@@ -45,4 +45,4 @@
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_FADING_MEAN_H_
+#endif  // SORRELPLANK_STEER_DECAYING_MEAN_H_
--- a/src/steer/others_estimate.h
+++ b/src/steer/peer_load_estimate.h
@@ -1,18 +1,19 @@
-/// @file others_estimate.h What other entry VMs have under way at a server.
+/// @file peer_load_estimate.h What other entry VMs have under way at a server.
 
-#ifndef SORRELPLANK_STEER_OTHERS_ESTIMATE_H_
-#define SORRELPLANK_STEER_OTHERS_ESTIMATE_H_
+#ifndef SORRELPLANK_STEER_PEER_LOAD_ESTIMATE_H_
+#define SORRELPLANK_STEER_PEER_LOAD_ESTIMATE_H_
 
 #include <cstdint>
 
 #include "core/time_type.h"
-#include "steer/quantile_track.h"
+#include "steer/quantile_estimator.h"
 
 namespace sorrelplank {
 
 struct AttemptReport;
 
-/// Estimates between a server's reports how many requests of others it has.
+/// Estimates between a server's reports how many requests of peer_requests it
+/// has.
 ///
 /// Load pattern: overload, and several VMs that send to the same server. Its
 /// queue holds a multiple of its slots, and no VM knows more than its own part.
@@ -20,10 +21,10 @@
 /// under way where there were 7; all of them then waited in the server's queue,
 /// past their targets. A queue empties at the server's own pace, so the
 /// estimate does: by its slots and by the time that it takes for a request.
-class OthersEstimate {
+class PeerLoadEstimate {
  public:
   /// A server reported so many requests that are not ours.
-  void Take(double others, TimePoint as_of);
+  void SetReported(double peer_requests, TimePoint as_of);
 
   /// An answer of the server, which has so many slots.
   void AddAnswer(const AttemptReport& report, uint32_t slots);
@@ -32,12 +33,12 @@
   double At(TimePoint now, double own, uint32_t slots) const;
 
  private:
-  double m_others = 0;
+  double m_peer_requests = 0;
   TimePoint m_as_of{};
   /// Median time for which a request takes a slot.
-  QuantileTrack m_work{0.5};
+  QuantileEstimator m_work{0.5};
 };
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_OTHERS_ESTIMATE_H_
+#endif  // SORRELPLANK_STEER_PEER_LOAD_ESTIMATE_H_
--- a/src/steer/quantile_track.h
+++ b/src/steer/quantile_estimator.h
@@ -1,7 +1,7 @@
-/// @file quantile_track.h Follows a quantile of a stream of times.
+/// @file quantile_estimator.h Follows a quantile of a stream of times.
 
-#ifndef SORRELPLANK_STEER_QUANTILE_TRACK_H_
-#define SORRELPLANK_STEER_QUANTILE_TRACK_H_
+#ifndef SORRELPLANK_STEER_QUANTILE_ESTIMATOR_H_
+#define SORRELPLANK_STEER_QUANTILE_ESTIMATOR_H_
 
 #include "core/time_type.h"
 
@@ -10,9 +10,9 @@
 /// Steps up or down by a small part with each sample, so that the quantile's
 /// part of the samples is below. A mean would follow the few requests that find
 /// a server not warm for their object, which take 3.3 times as long.
-class QuantileTrack {
+class QuantileEstimator {
  public:
-  explicit QuantileTrack(double quantile) : m_quantile(quantile) {}
+  explicit QuantileEstimator(double quantile) : m_quantile(quantile) {}
 
   void Add(Duration sample) {
     if (m_value == Duration::zero()) {
@@ -20,8 +20,8 @@
       return;
     }
     const double step = sample > m_value ? m_quantile : m_quantile - 1;
-    m_value +=
-        std::chrono::duration_cast<Duration>(m_value * (step * kLargestStep));
+    m_value += std::chrono::duration_cast<Duration>(m_value *
+                                                    (step * kMaxStepFraction));
   }
 
   /// Zero before the first sample.
@@ -29,7 +29,7 @@
 
  private:
   /// Part of the value: a change to a third is followed in some 20 samples.
-  static constexpr double kLargestStep = 0.12;
+  static constexpr double kMaxStepFraction = 0.12;
 
   double m_quantile;
   Duration m_value{};
@@ -37,4 +37,4 @@
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_QUANTILE_TRACK_H_
+#endif  // SORRELPLANK_STEER_QUANTILE_ESTIMATOR_H_
--- a/src/steer/server_roster.cc
+++ b/src/steer/region_servers.cc
@@ -1,19 +1,20 @@
-/// @file server_roster.cc Sums over a region, less what is out of the ordinary.
+/// @file region_servers.cc Sums over a region, less what is out of the
+/// ordinary.
 
-#include "steer/server_roster.h"
+#include "steer/region_servers.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "steer/server_picker.h"
-#include "steer/server_track.h"
+#include "steer/server_state.h"
 
 namespace sorrelplank {
 
 namespace {
 
 /// Whether nothing of the server's own keeps requests away.
-bool IsOrdinary(const ServerTrack& server, TimePoint now) {
+bool IsUnrestricted(const ServerState& server, TimePoint now) {
   return !server.Entry().m_leaving && !server.Notices().IsLeaving() &&
          !server.IsGone() && !server.Notices().IsPaused(now) &&
          !server.IsCold(now);
@@ -21,43 +22,43 @@
 
 }  // namespace
 
-bool ServerRoster::ByInstance::operator()(const ServerTrack* a,
-                                          const ServerTrack* b) const {
+bool RegionServers::ByInstance::operator()(const ServerState* a,
+                                           const ServerState* b) const {
   return a->Entry().m_instance < b->Entry().m_instance;
 }
 
-void ServerRoster::Add(ServerTrack* server) {
+void RegionServers::Add(ServerState* server) {
   m_all.push_back(server);
-  m_order.Add(server);
+  m_object_ranking.Add(server);
   m_slots[server->Entry().m_failure_domain] += server->Entry().m_slots;
-  NoteStanding(server);
+  NoteStatusChange(server);
 }
 
-void ServerRoster::Remove(ServerTrack* server) {
+void RegionServers::Remove(ServerState* server) {
   std::erase(m_all, server);
-  m_order.Remove(server);
+  m_object_ranking.Remove(server);
   m_slots[server->Entry().m_failure_domain] -= server->Entry().m_slots;
-  m_special.erase(server);
+  m_restricted.erase(server);
   m_reported.erase(server);
 }
 
-void ServerRoster::Update(ServerTrack* server,
-                          ServerEntry entry,
-                          TimePoint now) {
+void RegionServers::Update(ServerState* server,
+                           ServerEntry entry,
+                           TimePoint now) {
   uint64_t& slots = m_slots[server->Entry().m_failure_domain];
   slots -= server->Entry().m_slots;
   server->Update(std::move(entry), now);
   slots += server->Entry().m_slots;
-  NoteStanding(server);
+  NoteStatusChange(server);
 }
 
-void ServerRoster::NoteStanding(ServerTrack* server) {
-  m_special.insert(server);
+void RegionServers::NoteStatusChange(ServerState* server) {
+  m_restricted.insert(server);
 }
 
-RegionLoad ServerRoster::Measure(const ServerPicker& picker,
-                                 const ServiceRules& rules,
-                                 TimePoint now) {
+RegionLoad RegionServers::Measure(const ServerPicker& picker,
+                                  const ServiceRules& rules,
+                                  TimePoint now) {
   RegionLoad region;
   for (const auto& [domain, slots] : m_slots) {
     if (picker.IsEvacuated(domain)) {
@@ -68,11 +69,11 @@
       region.m_slots_within_reach += static_cast<double>(slots);
     }
   }
-  m_looked_at += m_special.size() + m_reported.size();
-  std::erase_if(m_special, [now](const ServerTrack* server) {
-    return IsOrdinary(*server, now);
+  m_examined += m_restricted.size() + m_reported.size();
+  std::erase_if(m_restricted, [now](const ServerState* server) {
+    return IsUnrestricted(*server, now);
   });
-  for (const ServerTrack* server : m_special) {
+  for (const ServerState* server : m_restricted) {
     const ServerEntry& entry = server->Entry();
     if (picker.IsEvacuated(entry.m_failure_domain)) {
       continue;
@@ -82,24 +83,24 @@
     }
     const bool is_counted_within_reach =
         !picker.IsBreakerOpen(entry.m_failure_domain, now);
-    if (is_counted_within_reach && !picker.IsWithinReach(*server, rules, now)) {
+    if (is_counted_within_reach && !picker.IsReachable(*server, rules, now)) {
       region.m_slots_within_reach -= entry.m_slots;
     }
   }
   double load = 0;
-  double told_slots = 0;
-  std::erase_if(m_reported, [now](const ServerTrack* server) {
+  double reported_slots = 0;
+  std::erase_if(m_reported, [now](const ServerState* server) {
     return !server->RecentLoad(now);
   });
-  for (const ServerTrack* server : m_reported) {
+  for (const ServerState* server : m_reported) {
     if (picker.IsUsable(*server)) {
-      told_slots += server->Entry().m_slots;
+      reported_slots += server->Entry().m_slots;
       load += *server->RecentLoad(now) + server->Waiting();
     }
   }
-  region.m_is_known = told_slots > 0;
-  if (told_slots > 0) {
-    region.m_utilisation = load / told_slots;
+  region.m_is_known = reported_slots > 0;
+  if (reported_slots > 0) {
+    region.m_utilisation = load / reported_slots;
   }
   return region;
 }
--- a/src/steer/region_times.cc
+++ b/src/steer/region_times.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "steer/part_in_slot_func.h"
+#include "steer/slot_time_fraction_func.h"
 
 namespace sorrelplank {
 
@@ -19,7 +19,7 @@
                       const AttemptReport& report,
                       uint32_t slots) {
   const auto in_slot = std::chrono::duration_cast<Duration>(
-      report.m_latency * PartInSlot(report, slots));
+      report.m_latency * SlotTimeFraction(report, slots));
   Times& times = m_times[region];
   Blend(times.m_mean, in_slot);
   times.m_shortest.Add(in_slot);
--- a/src/steer/region_times.h
+++ b/src/steer/region_times.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/time_type.h"
-#include "steer/quantile_track.h"
+#include "steer/quantile_estimator.h"
 
 namespace sorrelplank {
 
@@ -43,7 +43,7 @@
     /// which a waiting request may turn out to be.
     Duration m_mean{};
     /// Nearly the shortest: the difference between regions is the way.
-    QuantileTrack m_shortest{0.1};
+    QuantileEstimator m_shortest{0.1};
   };
 
   static void Blend(Duration& mean, Duration sample);
--- a/src/steer/server_limits.cc
+++ b/src/steer/server_limits.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "steer/server_track.h"
+#include "steer/server_state.h"
 
 namespace sorrelplank {
 
@@ -29,7 +29,7 @@
 constexpr Duration kUnusedFor = seconds(60);
 constexpr Duration kSweepInterval = seconds(5);
 
-QuotaSubject SubjectOf(const ServerTrack& server) {
+QuotaSubject SubjectOf(const ServerState& server) {
   return HashServer(server.Entry().m_instance);
 }
 
@@ -59,20 +59,20 @@
   m_keeper.FleetChanged(now);
 }
 
-QuotaGate& ServerLimits::GateOf(const ServerTrack& server) {
+QuotaGate& ServerLimits::GateOf(const ServerState& server) {
   return m_gates[server.Region()];
 }
 
-const QuotaGate& ServerLimits::GateOf(const ServerTrack& server) const {
+const QuotaGate& ServerLimits::GateOf(const ServerState& server) const {
   return m_gates[server.Region()];
 }
 
-bool ServerLimits::MayTry(const ServerTrack& server, TimePoint now) const {
+bool ServerLimits::MayTry(const ServerState& server, TimePoint now) const {
   return !server.Notices().MostPerSecond() ||
          !GateOf(server).IsRefused(SubjectOf(server), now);
 }
 
-bool ServerLimits::IsLeftToItsRegion(const ServerTrack& server,
+bool ServerLimits::IsLeftToItsRegion(const ServerState& server,
                                      TimePoint now) const {
   const std::string& region = m_regions[server.Region()];
   const bool is_remote = server.Notices().MostPerSecond() && region != m_region;
@@ -84,7 +84,7 @@
               .empty();
 }
 
-Duration ServerLimits::WaitFor(const ServerTrack& server, TimePoint now) const {
+Duration ServerLimits::WaitFor(const ServerState& server, TimePoint now) const {
   return MayTry(server, now) ? Duration::zero()
                              : GateOf(server).ComeBackAfter(SubjectOf(server));
 }
@@ -105,7 +105,7 @@
 }
 
 QuotaVerdict ServerLimits::Arrived(RequestId request,
-                                   const ServerTrack& server,
+                                   const ServerState& server,
                                    TimePoint now) {
   const QuotaSubject subject = SubjectOf(server);
   const Known& known = Learn(subject, server.Region(),
@@ -125,14 +125,14 @@
   return verdict;
 }
 
-void ServerLimits::Left(RequestId request, const ServerTrack& server) {
+void ServerLimits::Left(RequestId request, const ServerState& server) {
   GateOf(server).Left(request, SubjectOf(server));
   std::erase_if(m_found, [request](const QuotaOutcome& outcome) {
     return outcome.m_request == request;
   });
 }
 
-void ServerLimits::Return(const ServerTrack& server, TimePoint now) {
+void ServerLimits::Return(const ServerState& server, TimePoint now) {
   GateOf(server).Return(SubjectOf(server), now);
 }
 
--- a/src/steer/server_limits.h
+++ b/src/steer/server_limits.h
@@ -16,7 +16,7 @@
 
 namespace sorrelplank {
 
-class ServerTrack;
+class ServerState;
 struct FleetMember;
 
 /// Holds the limit that a server names over all entry VMs together.
@@ -39,25 +39,25 @@
 
   /// Whether a request may try for the server now; true for servers without a
   /// limit.
-  bool MayTry(const ServerTrack& server, TimePoint now) const;
+  bool MayTry(const ServerState& server, TimePoint now) const;
   /// Whether VMs of the server's region have it to themselves, as long as other
   /// servers can be sent to. Not once this VM has heard nothing of the limit
   /// for long: it may have ended.
-  bool IsLeftToItsRegion(const ServerTrack& server, TimePoint now) const;
+  bool IsLeftToItsRegion(const ServerState& server, TimePoint now) const;
 
   /// When a server that may not be tried has a token again; zero where it may
   /// be.
-  Duration WaitFor(const ServerTrack& server, TimePoint now) const;
+  Duration WaitFor(const ServerState& server, TimePoint now) const;
 
   /// A request is to be sent to a server with a limit. Where it waits, its
   /// outcome comes from TakeGrant or Tick.
   QuotaVerdict Arrived(RequestId request,
-                       const ServerTrack& server,
+                       const ServerState& server,
                        TimePoint now);
   /// A request that waits is given up.
-  void Left(RequestId request, const ServerTrack& server);
+  void Left(RequestId request, const ServerState& server);
   /// A request that got a token is not sent.
-  void Return(const ServerTrack& server, TimePoint now);
+  void Return(const ServerState& server, TimePoint now);
 
   std::vector<QuotaQuestion> TakeQuestions();
   /// Whether the quota is a server's limit that this VM asked for.
@@ -86,8 +86,8 @@
                      size_t region,
                      const NamedLimit& limit,
                      TimePoint now);
-  QuotaGate& GateOf(const ServerTrack& server);
-  const QuotaGate& GateOf(const ServerTrack& server) const;
+  QuotaGate& GateOf(const ServerState& server);
+  const QuotaGate& GateOf(const ServerState& server) const;
   /// Hands on what the gate asks; the own questions are answered at once.
   std::vector<QuotaOutcome> Ask(QuotaGate& gate, TimePoint now);
   void ForgetUnused(TimePoint now);
--- a/src/steer/server_picker.cc
+++ b/src/steer/server_picker.cc
@@ -7,10 +7,10 @@
 #include <tuple>
 #include <utility>
 
+#include "steer/region_servers.h"
 #include "steer/routing_table_type.h"
 #include "steer/server_limits.h"
-#include "steer/server_roster.h"
-#include "steer/server_track.h"
+#include "steer/server_state.h"
 
 namespace sorrelplank {
 
@@ -18,48 +18,49 @@
 
 /// Two entry VMs may take themselves for the sender while their views of the
 /// fleet differ; so each stays under half of the bound.
-constexpr double kColdPart = 0.5;
+constexpr double kColdLimitFraction = 0.5;
 /// Servers that an object may go to while all are sound. More would find a free
 /// slot sooner and be cold for the object more often.
-constexpr size_t kChoicesOfObject = 2;
+constexpr size_t kCandidatesPerObject = 2;
 /// Part of a region's VMs that are taken to be cut off from the store at once.
 /// Servers may turn cold without their learning of it. They share the half of
 /// the bound that the one VM which sends to a cold server leaves.
-constexpr double kCutOffPart = 0.5;
+constexpr double kStaleVmsFraction = 0.5;
 /// A VM that has just joined sees others late; until then it may take itself
 /// for the only one. Longer than the store's slowest watch.
-constexpr Duration kMemberBeforeCold = seconds(2);
+constexpr Duration kMinMembershipForCold = seconds(2);
 
-bool WasTried(const PickNeed& need, const std::string& instance) {
-  return need.m_tried != nullptr &&
-         std::find(need.m_tried->begin(), need.m_tried->end(), instance) !=
-             need.m_tried->end();
+bool WasTried(const PickCriteria& criteria, const std::string& instance) {
+  return criteria.m_tried != nullptr &&
+         std::find(criteria.m_tried->begin(), criteria.m_tried->end(),
+                   instance) != criteria.m_tried->end();
 }
 
 /// Whether the server's own word forbids to send the request there now. A
 /// bound, unlike a rest of ours, which only ranks a server last.
-bool AsksForNone(const ServerTrack& server,
-                 const PickNeed& need,
-                 TimePoint now) {
+bool DeclinesRequests(const ServerState& server,
+                      const PickCriteria& criteria,
+                      TimePoint now) {
   if (server.Notices().IsPaused(now)) {
     return true;
   }
-  if (need.m_limits == nullptr || !server.Notices().MostPerSecond()) {
+  if (criteria.m_limits == nullptr || !server.Notices().MostPerSecond()) {
     return false;
   }
-  const bool is_left_out = !need.m_takes_remote_limited &&
-                           need.m_limits->IsLeftToItsRegion(server, now);
-  return is_left_out || !need.m_limits->MayTry(server, now);
+  const bool is_left_out = !criteria.m_allows_remote_limited &&
+                           criteria.m_limits->IsLeftToItsRegion(server, now);
+  return is_left_out || !criteria.m_limits->MayTry(server, now);
 }
 
 }  // namespace
 
 ServerPicker::ServerPicker(const SteeringSettings& settings)
-    : m_settings(settings), m_cold_senders(settings.m_regions, settings.m_vm) {}
+    : m_settings(settings),
+      m_cold_assignment(settings.m_regions, settings.m_vm) {}
 
 void ServerPicker::SetFleet(std::vector<FleetMember> fleet, TimePoint now) {
   m_fleet = std::move(fleet);
-  m_cold_senders.SetFleet(m_fleet);
+  m_cold_assignment.SetFleet(m_fleet);
   m_vms_in_region = static_cast<size_t>(std::count_if(
       m_fleet.begin(), m_fleet.end(), [this](const FleetMember& member) {
         return member.m_region == m_settings.m_region;
@@ -83,13 +84,13 @@
   return m_evacuated.contains(domain);
 }
 
-bool ServerPicker::IsUsable(const ServerTrack& server) const {
+bool ServerPicker::IsUsable(const ServerState& server) const {
   const ServerEntry& entry = server.Entry();
   return !entry.m_leaving && !server.Notices().IsLeaving() &&
          !server.IsGone() && !IsEvacuated(entry.m_failure_domain);
 }
 
-bool ServerPicker::MaySend(const ServerTrack& server, TimePoint now) const {
+bool ServerPicker::MaySend(const ServerState& server, TimePoint now) const {
   return IsUsable(server) && !server.Notices().IsPaused(now);
 }
 
@@ -99,94 +100,98 @@
   return it != m_breakers.end() && it->second.IsOpen(now);
 }
 
-bool ServerPicker::IsWithinReach(const ServerTrack& server,
-                                 const ServiceRules& rules,
-                                 TimePoint now) const {
+bool ServerPicker::IsReachable(const ServerState& server,
+                               const ServiceRules& rules,
+                               TimePoint now) const {
   return MaySend(server, now) &&
          !IsBreakerOpen(server.Entry().m_failure_domain, now) &&
          RateLimit(server, rules, now) != 0U;
 }
 
-bool ServerPicker::Rests(const ServerTrack& server,
-                         const PickNeed& need,
-                         TimePoint now) const {
-  return server.IsResting(now, need.m_usual) ||
+bool ServerPicker::ShouldAvoid(const ServerState& server,
+                               const PickCriteria& criteria,
+                               TimePoint now) const {
+  return server.IsEjected(now, criteria.m_usual) ||
          IsBreakerOpen(server.Entry().m_failure_domain, now);
 }
 
 ServerPicker::Ranked ServerPicker::Rank(
-    const std::vector<ServerTrack*>& servers,
-    const PickNeed& need,
+    const std::vector<ServerState*>& servers,
+    const PickCriteria& criteria,
     TimePoint now) const {
-  using Place = std::tuple<bool, double, uint64_t, ServerTrack*>;
-  std::vector<Place> places;
-  places.reserve(servers.size());
-  for (ServerTrack* server : servers) {
+  using Candidate = std::tuple<bool, double, uint64_t, ServerState*>;
+  std::vector<Candidate> candidates;
+  candidates.reserve(servers.size());
+  for (ServerState* server : servers) {
     const ServerEntry& entry = server->Entry();
-    if (!IsUsable(*server) || WasTried(need, entry.m_instance)) {
+    if (!IsUsable(*server) || WasTried(criteria, entry.m_instance)) {
       continue;
     }
-    const double load = need.m_keeps_objects_together
+    const double load = criteria.m_keeps_objects_together
                             ? 0
                             : server->Occupancy(now) / entry.m_slots;
-    const bool is_resting = Rests(*server, need, now);
+    const bool is_avoided = ShouldAvoid(*server, criteria, now);
     // Resting servers come last instead of dropping out: where all rest, the
     // cause is likely not theirs, and refusing everything would be worse.
-    places.emplace_back(is_resting, load,
-                        ~ObjectWeight(need.m_object, entry.m_instance), server);
+    candidates.emplace_back(is_avoided, load,
+                            ~ObjectWeight(criteria.m_object, entry.m_instance),
+                            server);
   }
-  std::sort(places.begin(), places.end());
+  std::sort(candidates.begin(), candidates.end());
   Ranked ranked;
-  ranked.reserve(places.size());
-  for (const Place& place : places) {
-    ranked.push_back(std::get<ServerTrack*>(place));
+  ranked.reserve(candidates.size());
+  for (const Candidate& candidate : candidates) {
+    ranked.push_back(std::get<ServerState*>(candidate));
   }
   return ranked;
 }
 
-Choice ServerPicker::Pick(ServerRoster& servers,
+Choice ServerPicker::Pick(RegionServers& servers,
                           const ServiceRules& rules,
-                          const PickNeed& need,
+                          const PickCriteria& criteria,
                           TimePoint now) const {
-  if (need.m_keeps_objects_together) {
-    const auto choice = PickAmongFirst(servers, rules, need, now);
+  if (criteria.m_keeps_objects_together) {
+    const auto choice = PickAmongTop(servers, rules, criteria, now);
     if (choice) {
       return *choice;
     }
   }
-  servers.CountLookedAt(servers.All().size());
+  servers.CountExamined(servers.All().size());
   size_t considered = 0;
-  return PickInOrder(Rank(servers.All(), need, now), rules, need, considered,
-                     now);
+  return PickInOrder(Rank(servers.All(), criteria, now), rules, criteria,
+                     considered, now);
 }
 
-std::optional<Choice> ServerPicker::PickAmongFirst(ServerRoster& servers,
-                                                   const ServiceRules& rules,
-                                                   const PickNeed& need,
-                                                   TimePoint now) const {
-  Ranked awake = servers.FirstOf(need.m_object);
-  servers.CountLookedAt(awake.size());
-  std::erase_if(awake, [&](const ServerTrack* server) {
-    return !IsUsable(*server) || WasTried(need, server->Entry().m_instance) ||
-           Rests(*server, need, now);
+std::optional<Choice> ServerPicker::PickAmongTop(RegionServers& servers,
+                                                 const ServiceRules& rules,
+                                                 const PickCriteria& criteria,
+                                                 TimePoint now) const {
+  Ranked available = servers.TopServers(criteria.m_object);
+  servers.CountExamined(available.size());
+  std::erase_if(available, [&](const ServerState* server) {
+    return !IsUsable(*server) ||
+           WasTried(criteria, server->Entry().m_instance) ||
+           ShouldAvoid(*server, criteria, now);
   });
   size_t considered = 0;
-  const Choice choice = PickInOrder(awake, rules, need, considered, now);
-  return considered == kChoicesOfObject ? std::optional(choice) : std::nullopt;
+  const Choice choice =
+      PickInOrder(available, rules, criteria, considered, now);
+  return considered == kCandidatesPerObject ? std::optional(choice)
+                                            : std::nullopt;
 }
 
 Choice ServerPicker::PickInOrder(const Ranked& ranked,
                                  const ServiceRules& rules,
-                                 const PickNeed& need,
+                                 const PickCriteria& criteria,
                                  size_t& considered,
                                  TimePoint now) const {
   const size_t choices =
-      need.m_keeps_objects_together ? kChoicesOfObject : ranked.size();
+      criteria.m_keeps_objects_together ? kCandidatesPerObject : ranked.size();
   Choice best;
-  double first_time = 0;
-  double free_time = 0;
-  for (ServerTrack* server : ranked) {
-    if (AsksForNone(*server, need, now)) {
+  double fastest_time = 0;
+  double fastest_free_time = 0;
+  for (ServerState* server : ranked) {
+    if (DeclinesRequests(*server, criteria, now)) {
       ++best.m_passed_over;
       continue;
     }
@@ -199,7 +204,7 @@
       break;
     }
     ++considered;
-    const double limit = server->OccupancyLimit(now, need.m_usual);
+    const double limit = server->OccupancyLimit(now, criteria.m_usual);
     const double surplus =
         server->Occupancy(now) + server->Waiting() + 1 - limit;
     const double wait = std::max(0.0, surplus) / std::max(1.0, limit);
@@ -208,53 +213,55 @@
     // the object to the second server over any wait. Value of the answers to
     // their callers under overload, of the most possible: 0.714 before, 0.731
     // after.
-    const bool is_warm = !need.m_keeps_objects_together || considered == 1 ||
-                         server->IsWarmFor(need.m_object, now);
-    const double time = wait + (is_warm ? 1 : ServerTrack::kNotWarmFactor);
-    if (best.m_first == nullptr || time < first_time) {
-      best.m_first = server;
-      first_time = time;
+    const bool is_warm = !criteria.m_keeps_objects_together ||
+                         considered == 1 ||
+                         server->IsWarmFor(criteria.m_object, now);
+    const double time = wait + (is_warm ? 1 : ServerState::kCacheMissFactor);
+    if (best.m_fastest == nullptr || time < fastest_time) {
+      best.m_fastest = server;
+      fastest_time = time;
     }
     const bool has_room = server->Occupancy(now) + 1 <= limit;
-    if (has_room && (best.m_free == nullptr || time < free_time)) {
-      best.m_free = server;
-      free_time = time;
+    if (has_room &&
+        (best.m_fastest_free == nullptr || time < fastest_free_time)) {
+      best.m_fastest_free = server;
+      fastest_free_time = time;
     }
   }
   return best;
 }
 
-std::optional<uint32_t> ServerPicker::RateLimit(const ServerTrack& server,
+std::optional<uint32_t> ServerPicker::RateLimit(const ServerState& server,
                                                 const ServiceRules& rules,
                                                 TimePoint now) const {
   if (server.IsCold(now)) {
-    return IsColdSender(server, now) ? ColdLimit(rules) : 0;
+    return IsAssignedColdServer(server, now) ? ColdLimit(rules) : 0;
   }
-  if (m_is_cut_off && rules.m_cold_per_second > 0) {
-    return CutOffLimit(rules);
+  if (m_is_data_stale && rules.m_cold_per_second > 0) {
+    return StaleDataLimit(rules);
   }
   return std::nullopt;
 }
 
-uint32_t ServerPicker::CutOffLimit(const ServiceRules& rules) const {
+uint32_t ServerPicker::StaleDataLimit(const ServiceRules& rules) const {
   const double cut_off_vms =
-      std::max(1.0, static_cast<double>(m_vms_in_region) * kCutOffPart);
+      std::max(1.0, static_cast<double>(m_vms_in_region) * kStaleVmsFraction);
   return std::max(1U, static_cast<uint32_t>(ColdLimit(rules) / cut_off_vms));
 }
 
 uint32_t ServerPicker::ColdLimit(const ServiceRules& rules) const {
   const double bound = rules.m_cold_per_second * m_settings.m_cold_factor +
                        m_settings.m_cold_slack;
-  return static_cast<uint32_t>(std::floor(bound * kColdPart));
+  return static_cast<uint32_t>(std::floor(bound * kColdLimitFraction));
 }
 
-bool ServerPicker::IsColdSender(const ServerTrack& server,
-                                TimePoint now) const {
+bool ServerPicker::IsAssignedColdServer(const ServerState& server,
+                                        TimePoint now) const {
   if (m_member_since == TimePoint::max() ||
-      now - m_member_since < kMemberBeforeCold) {
+      now - m_member_since < kMinMembershipForCold) {
     return false;
   }
-  return m_cold_senders.IsOwn(server.Entry());
+  return m_cold_assignment.IsAssignedHere(server.Entry());
 }
 
 }  // namespace sorrelplank
--- a/src/steer/server_picker.h
+++ b/src/steer/server_picker.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/time_type.h"
-#include "steer/cold_senders.h"
+#include "steer/cold_server_assignment.h"
 #include "steer/domain_breaker.h"
 #include "steer/fleet_member_type.h"
 #include "steer/steering_settings_type.h"
@@ -20,13 +20,13 @@
 namespace sorrelplank {
 
 class ServerLimits;
-class ServerRoster;
-class ServerTrack;
+class RegionServers;
+class ServerState;
 struct ServerEntry;
 struct ServiceRules;
 
 /// What matters of a request for the pick.
-struct PickNeed {
+struct PickCriteria {
   /// Hash of the object that the request is about.
   uint64_t m_object = 0;
   bool m_keeps_objects_together = false;
@@ -37,15 +37,15 @@
   const ServerLimits* m_limits = nullptr;
   /// Whether servers with a limit that are left to the VMs of their region may
   /// be taken as well.
-  bool m_takes_remote_limited = false;
+  bool m_allows_remote_limited = false;
 };
 
 /// Servers for a request; nullptr where there is none.
 struct Choice {
   /// Expected to answer first; it may have no free slot.
-  ServerTrack* m_first = nullptr;
+  ServerState* m_fastest = nullptr;
   /// Expected to answer first among those that have a free slot.
-  ServerTrack* m_free = nullptr;
+  ServerState* m_fastest_free = nullptr;
   /// Servers that were left out, since they ask for no more requests now.
   uint32_t m_passed_over = 0;
 };
@@ -66,26 +66,28 @@
   void SetEvacuated(std::set<std::string> domains);
 
   /// Whether nothing new can be learned of servers at the moment.
-  void SetCutOff(bool is_cut_off) { m_is_cut_off = is_cut_off; }
-  bool IsCutOff() const { return m_is_cut_off; }
+  void SetDataStale(bool is_stale) { m_is_data_stale = is_stale; }
+  bool IsDataStale() const { return m_is_data_stale; }
 
   const std::vector<FleetMember>& Fleet() const { return m_fleet; }
   /// VMs that were weighed so far to find who sends to cold servers.
-  uint64_t VmsWeighed() const { return m_cold_senders.Weighed(); }
+  uint64_t VmWeightsComputed() const {
+    return m_cold_assignment.WeightsComputed();
+  }
   bool IsEvacuated(const std::string& domain) const;
 
   /// Whether requests may be sent to the server at all.
-  bool IsUsable(const ServerTrack& server) const;
+  bool IsUsable(const ServerState& server) const;
 
   /// Whether a request may be sent to the server now, by what the store and the
   /// server itself say.
-  bool MaySend(const ServerTrack& server, TimePoint now) const;
+  bool MaySend(const ServerState& server, TimePoint now) const;
 
   /// Whether this VM can expect to have requests taken by the server now: its
   /// failure domain is within reach, and a cold one is not left to another VM.
-  bool IsWithinReach(const ServerTrack& server,
-                     const ServiceRules& rules,
-                     TimePoint now) const;
+  bool IsReachable(const ServerState& server,
+                   const ServiceRules& rules,
+                   TimePoint now) const;
 
   bool IsBreakerOpen(const std::string& domain, TimePoint now) const;
 
@@ -94,46 +96,46 @@
     return m_breakers[domain];
   }
 
-  Choice Pick(ServerRoster& servers,
+  Choice Pick(RegionServers& servers,
               const ServiceRules& rules,
-              const PickNeed& need,
+              const PickCriteria& criteria,
               TimePoint now) const;
 
   /// Requests that this VM may send to a server in any second; nothing where
   /// there is no bound.
-  std::optional<uint32_t> RateLimit(const ServerTrack& server,
+  std::optional<uint32_t> RateLimit(const ServerState& server,
                                     const ServiceRules& rules,
                                     TimePoint now) const;
 
  private:
-  using Ranked = std::vector<ServerTrack*>;
+  using Ranked = std::vector<ServerState*>;
   /// Whether the server, or its whole failure domain, should be left alone
   /// while others can take the request.
-  bool Rests(const ServerTrack& server,
-             const PickNeed& need,
-             TimePoint now) const;
+  bool ShouldAvoid(const ServerState& server,
+                   const PickCriteria& criteria,
+                   TimePoint now) const;
   /// Usable servers in the order of choice.
-  Ranked Rank(const std::vector<ServerTrack*>& servers,
-              const PickNeed& need,
+  Ranked Rank(const std::vector<ServerState*>& servers,
+              const PickCriteria& criteria,
               TimePoint now) const;
   /// Chooses among the servers that an object prefers; nothing where too few of
   /// them can take the request.
-  std::optional<Choice> PickAmongFirst(ServerRoster& servers,
-                                       const ServiceRules& rules,
-                                       const PickNeed& need,
-                                       TimePoint now) const;
+  std::optional<Choice> PickAmongTop(RegionServers& servers,
+                                     const ServiceRules& rules,
+                                     const PickCriteria& criteria,
+                                     TimePoint now) const;
   /// Chooses among the first servers of the order that take the request; counts
   /// in `considered` how many did.
   Choice PickInOrder(const Ranked& ranked,
                      const ServiceRules& rules,
-                     const PickNeed& need,
+                     const PickCriteria& criteria,
                      size_t& considered,
                      TimePoint now) const;
 
   uint32_t ColdLimit(const ServiceRules& rules) const;
-  uint32_t CutOffLimit(const ServiceRules& rules) const;
+  uint32_t StaleDataLimit(const ServiceRules& rules) const;
   /// Whether this VM is the one that sends to a cold server.
-  bool IsColdSender(const ServerTrack& server, TimePoint now) const;
+  bool IsAssignedColdServer(const ServerState& server, TimePoint now) const;
 
   const SteeringSettings& m_settings;
   std::map<std::string, DomainBreaker> m_breakers;
@@ -141,10 +143,10 @@
   /// Entry VMs of the own region.
   size_t m_vms_in_region = 0;
   /// Keeps answers.
-  mutable ColdSenders m_cold_senders;
+  mutable ColdServerAssignment m_cold_assignment;
   TimePoint m_member_since = TimePoint::max();
   std::set<std::string> m_evacuated;
-  bool m_is_cut_off = false;
+  bool m_is_data_stale = false;
 };
 
 }  // namespace sorrelplank
--- a/src/steer/server_track.cc
+++ b/src/steer/server_state.cc
@@ -1,6 +1,6 @@
-/// @file server_track.cc Learning from the ends of requests.
+/// @file server_state.cc Learning from the ends of requests.
 
-#include "steer/server_track.h"
+#include "steer/server_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,39 +13,39 @@
 constexpr double kSampleWeight = 0.2;
 /// Mean loads are for slow decisions; they are kept over some requests of a VM
 /// that sends to the server once a second.
-constexpr Duration kLoadLife = seconds(3);
+constexpr Duration kLoadMaxAge = seconds(3);
 /// Consecutive failures after which a server rests. One lost answer may be
 /// chance; a connection that is not even opened says that nobody listens.
-constexpr uint32_t kFailuresToRest = 2;
-constexpr uint32_t kUnsentToRest = 1;
+constexpr uint32_t kFailuresToEject = 2;
+constexpr uint32_t kUnsentToEject = 1;
 /// First rest; it doubles with each further failure up to the longest.
-constexpr Duration kFirstRest = milliseconds(400);
-constexpr Duration kLongestRest = seconds(4);
+constexpr Duration kFirstEjection = milliseconds(400);
+constexpr Duration kMaxEjection = seconds(4);
 /// After a rejection the server is taken as full for about the time in which
 /// one of its slots comes free.
-constexpr Duration kFullPause = milliseconds(60);
+constexpr Duration kFullBackoff = milliseconds(60);
 /// Slower than usual by this factor: degraded. Objects that are not warm
 /// alone take 3.3 times as long.
-constexpr double kSlowFactor = 5;
+constexpr double kDegradedLatencyFactor = 5;
 /// Part of sends rejected or failed from which on a server is degraded.
-constexpr double kBadPart = 0.3;
+constexpr double kDegradedFraction = 0.3;
 /// No answer at all for this long, and for this many usual latencies, while
 /// requests are under way: stalled.
-constexpr Duration kStalled = milliseconds(1500);
-constexpr int kStalledFactor = 6;
+constexpr Duration kStallTimeout = milliseconds(1500);
+constexpr int kStallLatencyFactor = 6;
 /// A server is taken as warm for an object for this long after a request.
 /// Servers forget by number of objects, which nobody tells us; the time is that
 /// in which a busy server meets more objects than it remembers.
 constexpr Duration kWarmTime = seconds(15);
 /// Objects remembered for one server; 16 KB of memory.
-constexpr size_t kMostObjects = 512;
+constexpr size_t kMaxObjects = 512;
 /// Requests that a server may have beyond its slots. A slot that comes free is
 /// then taken at once, instead of after the answer's way back and the next
 /// request's way there. Worth of the answers to their callers, of the most
 /// possible, over five days with six seeds each: 0.580 with none, 0.592 and
 /// 0.602 with one (two runs), 0.591 with two, 0.577 with three, which wait
 /// longer at a server that another one could have relieved.
-constexpr double kAtHand = 1;
+constexpr double kExtraInFlight = 1;
 /// A cold server's own time is uncertain by the age of its entry.
 constexpr Duration kColdMargin = milliseconds(500);
 
@@ -61,7 +61,7 @@
       return "answered";
     case AttemptEnd::kServerError:
       return "server_error";
-    case AttemptEnd::kOutOfTime:
+    case AttemptEnd::kDeadlineExceeded:
       return "out_of_time";
     case AttemptEnd::kRejected:
       return "rejected";
@@ -75,12 +75,12 @@
   return "";
 }
 
-ServerTrack::ServerTrack(ServerEntry entry, size_t region, TimePoint now)
+ServerState::ServerState(ServerEntry entry, size_t region, TimePoint now)
     : m_entry(std::move(entry)), m_region(region), m_known_since(now) {
   MarkCold(m_entry.m_cold_left, now);
 }
 
-void ServerTrack::Update(ServerEntry entry, TimePoint now) {
+void ServerState::Update(ServerEntry entry, TimePoint now) {
   if (!entry.m_started) {
     entry.m_started = m_entry.m_started;
   }
@@ -88,26 +88,26 @@
   MarkCold(m_entry.m_cold_left, now);
 }
 
-void ServerTrack::MarkCold(Duration time, TimePoint now) {
+void ServerState::MarkCold(Duration time, TimePoint now) {
   if (time > Duration::zero()) {
     m_cold_until = std::max(m_cold_until, now + time + kColdMargin);
   }
 }
 
-void ServerTrack::CountSend(TimePoint now) {
-  if (m_own == 0) {
+void ServerState::CountSend(TimePoint now) {
+  if (m_own_in_flight == 0) {
     m_last_end = now;
   }
-  ++m_own;
+  ++m_own_in_flight;
 }
 
-void ServerTrack::CountEnd(const AttemptReport& report, TimePoint now) {
-  --m_own;
+void ServerState::CountEnd(const AttemptReport& report, TimePoint now) {
+  --m_own_in_flight;
   m_last_end = now;
   if (report.m_load) {
-    TakeReport(*report.m_load, Duration::zero(), now);
-    m_untold = report.m_load;
-    m_untold_at = now;
+    ApplyLoadReport(*report.m_load, Duration::zero(), now);
+    m_unshared_report = report.m_load;
+    m_unshared_report_at = now;
   }
   if (report.m_notice) {
     m_notices.Take(*report.m_notice, report.m_end == AttemptEnd::kAnswered,
@@ -118,7 +118,7 @@
     return;
   }
   Blend(m_rejections, 0);
-  if (report.m_end == AttemptEnd::kOutOfTime) {
+  if (report.m_end == AttemptEnd::kDeadlineExceeded) {
     // It says nothing of the server. Taken for failures, two of them made it
     // rest under overload, and its objects went to servers that were not warm
     // for them; these fell behind in turn.
@@ -126,51 +126,51 @@
   }
   if (report.m_end != AttemptEnd::kAnswered) {
     const bool is_unsent = report.m_end == AttemptEnd::kNotSent;
-    CountFailure(is_unsent ? kUnsentToRest : kFailuresToRest, now);
+    CountFailure(is_unsent ? kUnsentToEject : kFailuresToEject, now);
     return;
   }
   m_failures_in_row = 0;
   Blend(m_failures, 0);
   m_latency.Add(report.m_latency);
-  m_others.AddAnswer(report, m_entry.m_slots);
+  m_peer_load.AddAnswer(report, m_entry.m_slots);
 }
 
-bool ServerTrack::HadEnoughTime(Duration given,
+bool ServerState::HadEnoughTime(Duration given,
                                 Duration usual,
                                 TimePoint now) const {
   const double queue = std::max(1.0, Occupancy(now) / m_entry.m_slots);
   return ToMilliseconds(given) >=
-         kNotWarmFactor * queue * ToMilliseconds(usual);
+         kCacheMissFactor * queue * ToMilliseconds(usual);
 }
 
-void ServerTrack::TakeReport(const ReportedLoad& load,
-                             Duration age,
-                             TimePoint now) {
-  if (now - age < std::max(m_reported, m_known_since)) {
+void ServerState::ApplyLoadReport(const ReportedLoad& load,
+                                  Duration age,
+                                  TimePoint now) {
+  if (now - age < std::max(m_reported_at, m_known_since)) {
     return;
   }
   const double total = load.m_running + load.m_waiting;
-  m_others.Take(std::max(0.0, total - m_own), now - age);
-  const bool is_stale = now - m_reported >= kLoadLife;
+  m_peer_load.SetReported(std::max(0.0, total - m_own_in_flight), now - age);
+  const bool is_stale = now - m_reported_at >= kLoadMaxAge;
   m_load = is_stale ? total : m_load + (total - m_load) * kSampleWeight;
-  m_reported = now - age;
+  m_reported_at = now - age;
 }
 
-std::optional<ServerLoad> ServerTrack::TakeUntoldLoad(TimePoint now) {
-  if (!m_untold) {
+std::optional<ServerLoad> ServerState::TakeUnsharedLoad(TimePoint now) {
+  if (!m_unshared_report) {
     return std::nullopt;
   }
-  const ServerLoad told{HashName(m_entry.m_instance), *m_untold,
-                        now - m_untold_at};
-  m_untold.reset();
-  return told;
+  const ServerLoad shared{HashName(m_entry.m_instance), *m_unshared_report,
+                          now - m_unshared_report_at};
+  m_unshared_report.reset();
+  return shared;
 }
 
-void ServerTrack::CountRejection(const AttemptReport& report, TimePoint now) {
+void ServerState::CountRejection(const AttemptReport& report, TimePoint now) {
   const bool has_free_slot =
       report.m_load && report.m_load->m_running < report.m_load->m_slots;
   if (!has_free_slot) {
-    m_full_until = now + kFullPause;
+    m_full_until = now + kFullBackoff;
     return;
   }
   // Not for want of slots: a part of its sends, whatever its load. Pausing
@@ -178,28 +178,31 @@
   Blend(m_rejections, 1);
 }
 
-void ServerTrack::CountFailure(uint32_t failures_to_rest, TimePoint now) {
+void ServerState::CountFailure(uint32_t failures_to_eject, TimePoint now) {
   Blend(m_failures, 1);
   ++m_failures_in_row;
-  if (m_failures_in_row < failures_to_rest) {
+  if (m_failures_in_row < failures_to_eject) {
     return;
   }
-  const uint32_t doublings = std::min(m_failures_in_row - failures_to_rest, 4U);
-  m_rests_until = now + std::min(kFirstRest * (1U << doublings), kLongestRest);
+  const uint32_t doublings =
+      std::min(m_failures_in_row - failures_to_eject, 4U);
+  m_ejected_until =
+      now + std::min(kFirstEjection * (1U << doublings), kMaxEjection);
 }
 
-double ServerTrack::Occupancy(TimePoint now) const {
-  return m_own + m_others.At(now, m_own, m_entry.m_slots);
+double ServerState::Occupancy(TimePoint now) const {
+  return m_own_in_flight +
+         m_peer_load.At(now, m_own_in_flight, m_entry.m_slots);
 }
 
-std::optional<double> ServerTrack::RecentLoad(TimePoint now) const {
-  if (now - m_reported >= kLoadLife) {
+std::optional<double> ServerState::RecentLoad(TimePoint now) const {
+  if (now - m_reported_at >= kLoadMaxAge) {
     return std::nullopt;
   }
   return m_load;
 }
 
-double ServerTrack::OccupancyLimit(TimePoint now,
+double ServerState::OccupancyLimit(TimePoint now,
                                    const UsualService& usual) const {
   if (now < m_full_until) {
     return 0;
@@ -207,36 +210,37 @@
   if (IsDegraded(usual)) {
     return std::max(1.0, m_entry.m_slots / 4.0);
   }
-  return m_entry.m_slots + kAtHand;
+  return m_entry.m_slots + kExtraInFlight;
 }
 
-bool ServerTrack::IsResting(TimePoint now, const UsualService& usual) const {
-  if (now < m_rests_until) {
+bool ServerState::IsEjected(TimePoint now, const UsualService& usual) const {
+  if (now < m_ejected_until) {
     return true;
   }
   // A server that lost power answers nothing and resets nothing: without this
   // it would be sent requests until the first of them reach their deadline.
-  return m_own > 0 && now - m_last_end >
-                          std::max(kStalled, kStalledFactor * usual.m_latency);
+  return m_own_in_flight > 0 &&
+         now - m_last_end >
+             std::max(kStallTimeout, kStallLatencyFactor * usual.m_latency);
 }
 
-bool ServerTrack::IsDegraded(const UsualService& usual) const {
-  if (m_rejections > kBadPart + 2 * usual.m_rejections ||
-      m_failures > kBadPart) {
+bool ServerState::IsDegraded(const UsualService& usual) const {
+  if (m_rejections > kDegradedFraction + 2 * usual.m_rejections ||
+      m_failures > kDegradedFraction) {
     return true;
   }
   return usual.m_latency > Duration::zero() &&
          ToMilliseconds(m_latency.Get()) >
-             kSlowFactor * ToMilliseconds(usual.m_latency);
+             kDegradedLatencyFactor * ToMilliseconds(usual.m_latency);
 }
 
-bool ServerTrack::IsWarmFor(uint64_t object, TimePoint now) const {
+bool ServerState::IsWarmFor(uint64_t object, TimePoint now) const {
   const auto it = m_objects.find(object);
   return it != m_objects.end() && now - it->second < kWarmTime;
 }
 
-void ServerTrack::MarkWarmFor(uint64_t object, TimePoint now) {
-  if (m_objects.size() >= kMostObjects) {
+void ServerState::MarkWarmFor(uint64_t object, TimePoint now) {
+  if (m_objects.size() >= kMaxObjects) {
     std::erase_if(m_objects, [now](const auto& entry) {
       return now - entry.second >= kWarmTime / 4;
     });
@@ -244,11 +248,11 @@
   m_objects[object] = now;
 }
 
-bool ServerTrack::TryTakeRate(uint32_t most_per_second, TimePoint now) {
+bool ServerState::TryTakeRate(uint32_t most_per_second, TimePoint now) {
   return m_limited_sends.TryTake(most_per_second, now);
 }
 
-bool ServerTrack::HasRateRoom(uint32_t most_per_second, TimePoint now) {
+bool ServerState::HasRateRoom(uint32_t most_per_second, TimePoint now) {
   return m_limited_sends.Count(now) < most_per_second;
 }
 
--- a/src/steer/server_track.h
+++ b/src/steer/server_state.h
@@ -1,7 +1,7 @@
-/// @file server_track.h What this entry VM knows of one backend server.
+/// @file server_state.h What this entry VM knows of one backend server.
 
-#ifndef SORRELPLANK_STEER_SERVER_TRACK_H_
-#define SORRELPLANK_STEER_SERVER_TRACK_H_
+#ifndef SORRELPLANK_STEER_SERVER_STATE_H_
+#define SORRELPLANK_STEER_SERVER_STATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 #include "core/rate_window.h"
 #include "steer/attempt_report_type.h"
-#include "steer/others_estimate.h"
-#include "steer/quantile_track.h"
+#include "steer/peer_load_estimate.h"
+#include "steer/quantile_estimator.h"
 #include "steer/server_entry_type.h"
 #include "steer/server_load_type.h"
 #include "steer/server_notices.h"
@@ -21,14 +21,14 @@
 
 /// Load and health of a backend server, learned from requests alone: probes
 /// cost the server work, and their answers may be wrong.
-class ServerTrack {
+class ServerState {
  public:
   /// Work on an object for which a server is not warm, in usual latencies; by
   /// the deployments' measure of warm work.
-  static constexpr double kNotWarmFactor = 3.3;
+  static constexpr double kCacheMissFactor = 3.3;
 
   /// The region by the number that Steering gave it.
-  ServerTrack(ServerEntry entry, size_t region, TimePoint now);
+  ServerState(ServerEntry entry, size_t region, TimePoint now);
 
   const ServerEntry& Entry() const { return m_entry; }
   size_t Region() const { return m_region; }
@@ -37,7 +37,7 @@
 
   void CountSend(TimePoint now);
   void CountEnd(const AttemptReport& report, TimePoint now);
-  void CountCancel() { --m_own; }
+  void CountCancel() { --m_own_in_flight; }
 
   /// What its run asks of its callers.
   const ServerNotices& Notices() const { return m_notices; }
@@ -46,9 +46,9 @@
 
   /// Takes a report of the server's load if it is the newest, also one that
   /// another entry VM received.
-  void TakeReport(const ReportedLoad& load, Duration age, TimePoint now);
+  void ApplyLoadReport(const ReportedLoad& load, Duration age, TimePoint now);
   /// The last report that came to this VM since it was asked before.
-  std::optional<ServerLoad> TakeUntoldLoad(TimePoint now);
+  std::optional<ServerLoad> TakeUnsharedLoad(TimePoint now);
 
   /// Requests under way: our own, and those of others by its last report.
   double Occupancy(TimePoint now) const;
@@ -59,10 +59,10 @@
   double OccupancyLimit(TimePoint now, const UsualService& usual) const;
   /// Whether it fails, or answers nothing at all, so that it should be given no
   /// requests now.
-  bool IsResting(TimePoint now, const UsualService& usual) const;
+  bool IsEjected(TimePoint now, const UsualService& usual) const;
   /// Another instance answers at its address: this one is gone.
-  void MarkGone() { m_gone = true; }
-  bool IsGone() const { return m_gone; }
+  void MarkGone() { m_is_gone = true; }
+  bool IsGone() const { return m_is_gone; }
   /// Whether it is much slower than usual, or rejects a large part.
   bool IsDegraded(const UsualService& usual) const;
 
@@ -78,7 +78,7 @@
   /// the server is not warm for its object and others wait there.
   bool HadEnoughTime(Duration given, Duration usual, TimePoint now) const;
 
-  uint32_t InFlight() const { return m_own; }
+  uint32_t InFlight() const { return m_own_in_flight; }
   /// Consecutive sends that failed.
   uint32_t FailuresInRow() const { return m_failures_in_row; }
   /// Whether this VM sent a request on the object here lately.
@@ -92,32 +92,32 @@
 
  private:
   /// The server rests once so many failures came in a row.
-  void CountFailure(uint32_t failures_to_rest, TimePoint now);
+  void CountFailure(uint32_t failures_to_eject, TimePoint now);
   void CountRejection(const AttemptReport& report, TimePoint now);
 
   ServerEntry m_entry;
   size_t m_region;
   /// Reports from before are those of another run.
   TimePoint m_known_since;
-  uint32_t m_own = 0;
+  uint32_t m_own_in_flight = 0;
   uint32_t m_waiting = 0;
-  OthersEstimate m_others;
-  TimePoint m_reported{};
+  PeerLoadEstimate m_peer_load;
+  TimePoint m_reported_at{};
   /// The last report to this VM, until it is told to others.
-  std::optional<ReportedLoad> m_untold;
-  TimePoint m_untold_at{};
+  std::optional<ReportedLoad> m_unshared_report;
+  TimePoint m_unshared_report_at{};
   /// Moving average of the reports.
   double m_load = 0;
-  QuantileTrack m_latency{0.5};
+  QuantileEstimator m_latency{0.5};
   /// Moving averages in 0..1.
   double m_failures = 0;
   double m_rejections = 0;
   uint32_t m_failures_in_row = 0;
-  TimePoint m_rests_until{};
+  TimePoint m_ejected_until{};
   TimePoint m_full_until{};
   TimePoint m_cold_until{};
   TimePoint m_last_end{};
-  bool m_gone = false;
+  bool m_is_gone = false;
   ServerNotices m_notices;
   RateWindow m_limited_sends;
   std::unordered_map<uint64_t, TimePoint> m_objects;
@@ -125,4 +125,4 @@
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_SERVER_TRACK_H_
+#endif  // SORRELPLANK_STEER_SERVER_STATE_H_
--- a/src/steer/part_in_slot_func.h
+++ b/src/steer/slot_time_fraction_func.h
@@ -1,7 +1,8 @@
-/// @file part_in_slot_func.h How much of a request's time a slot was taken.
+/// @file slot_time_fraction_func.h How much of a request's time a slot was
+/// taken.
 
-#ifndef SORRELPLANK_STEER_PART_IN_SLOT_FUNC_H_
-#define SORRELPLANK_STEER_PART_IN_SLOT_FUNC_H_
+#ifndef SORRELPLANK_STEER_SLOT_TIME_FRACTION_FUNC_H_
+#define SORRELPLANK_STEER_SLOT_TIME_FRACTION_FUNC_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -13,7 +14,7 @@
 /// Part of its time at the server that an answered request had a slot, 0..1: a
 /// server with a queue serves, on average, what it reports as waiting before a
 /// request. 1 where it reports no load.
-inline double PartInSlot(const AttemptReport& report, uint32_t slots) {
+inline double SlotTimeFraction(const AttemptReport& report, uint32_t slots) {
   if (!report.m_load) {
     return 1;
   }
@@ -23,4 +24,4 @@
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_PART_IN_SLOT_FUNC_H_
+#endif  // SORRELPLANK_STEER_SLOT_TIME_FRACTION_FUNC_H_
--- a/src/steer/steer_action_type.h
+++ b/src/steer/steer_action_type.h
@@ -31,9 +31,9 @@
   /// are no organisations.
   std::string m_organisation;
   /// Whether the client's key ends here.
-  bool m_keeps_key = false;
+  bool m_strips_key = false;
   /// Idle connections to the server that may be kept behind the answer.
-  size_t m_most_kept = 0;
+  size_t m_max_idle_connections = 0;
   /// For logs and counts.
   std::string m_service;
   /// The server's region.
@@ -67,7 +67,7 @@
   /// What decided, for logs.
   /// Empty where it is not known or there is none.
   std::string m_organisation;
-  LineState m_line;
+  QueueState m_queue;
   Duration m_waited{};
   uint64_t m_table_version = 0;
   uint32_t m_sends = 0;
@@ -78,16 +78,16 @@
 };
 
 /// Nothing to do: what the decisions believe has changed, for logs.
-struct BeliefChanged {
+struct StateChanged {
   /// A constant, such as "server_rests".
-  const char* m_what = "";
+  const char* m_event = "";
   /// A server's instance or a service.
   std::string m_subject;
   double m_value = 0;
 };
 
 /// Nothing to do: a service's split over regions moved, for logs.
-struct SplitMoved {
+struct RegionSplitChanged {
   std::string m_service;
   /// Part of the objects that the own region runs.
   double m_own_share = 1;
@@ -104,7 +104,7 @@
 };
 
 /// Find out whether a server still takes connections; ServerChecked tells.
-struct CheckServerReach {
+struct CheckServerReachable {
   std::string m_instance;
   VmAddress m_address;
 };
@@ -135,7 +135,8 @@
   const char* m_reason = "";
 };
 
-/// Ask another entry VM for tokens of a quota; TakeQuotaGrant tells the answer.
+/// Ask another entry VM for tokens of a quota; ApplyQuotaGrant tells the
+/// answer.
 struct AskForTokens {
   QuotaQuestion m_question;
 };
@@ -144,10 +145,10 @@
                                  CancelSend,
                                  ForwardServerAnswer,
                                  RefuseRequest,
-                                 BeliefChanged,
-                                 SplitMoved,
+                                 StateChanged,
+                                 RegionSplitChanged,
                                  ServerRestarted,
-                                 CheckServerReach,
+                                 CheckServerReachable,
                                  RequestSuspected,
                                  RequestHeld,
                                  HoldEnded,
--- a/src/steer/steered_request_type.h
+++ b/src/steer/steered_request_type.h
@@ -20,7 +20,7 @@
 struct Organisation;
 struct RouteRule;
 struct RoutingTable;
-class ServerTrack;
+class ServerState;
 
 /// Order in a line; the lesser numbers go first.
 struct RequestRank {
@@ -53,7 +53,7 @@
 /// One send of a request that has not ended.
 struct LiveAttempt {
   AttemptId m_attempt;
-  std::shared_ptr<ServerTrack> m_server;
+  std::shared_ptr<ServerState> m_server;
   TimePoint m_sent;
 };
 
@@ -70,28 +70,28 @@
   RegionShares::Mask m_allowed_regions = 0;
   TimePoint m_arrived;
   /// The answer is due by then.
-  TimePoint m_finish_by;
-  std::vector<LiveAttempt> m_live;
+  TimePoint m_deadline;
+  std::vector<LiveAttempt> m_live_attempts;
   /// Instances that it was given to; it is not given to them again.
   std::vector<std::string> m_tried;
   /// Servers left out when a server was last chosen, since they ask for no more
   /// requests; for logs.
   uint32_t m_passed_over = 0;
   /// Sends of which a byte may have reached a server.
-  uint32_t m_arrivals = 0;
+  uint32_t m_started_sends = 0;
   /// Held until the routing table has been read.
   bool m_awaits_table = false;
   /// Held until a keeper of its organisation's quota has answered.
   bool m_awaits_token = false;
   /// A server with a limit that it is sent to once a keeper grants a token.
-  std::shared_ptr<ServerTrack> m_awaits_server;
+  std::shared_ptr<ServerState> m_awaits_server;
   /// A token of its organisation's quota is spent on it.
   bool m_has_token = false;
-  bool m_waits = false;
+  bool m_is_queued = false;
   /// Whose slot it waits for first of all.
-  std::shared_ptr<ServerTrack> m_waits_for;
+  std::shared_ptr<ServerState> m_queued_for;
   /// The retry budget was charged for the next send.
-  bool m_resend_paid = false;
+  bool m_is_retry_charged = false;
   /// A send ended without proof that the request did not run.
   bool m_may_have_run = false;
   /// It goes on once it is known whether the server that lost it has ended.
--- a/src/steer/steered_service.cc
+++ b/src/steer/steered_service.cc
@@ -12,46 +12,46 @@
 
 namespace {
 
-/// Sends after which a change of the part that is rejected shows.
+/// Sends after which a change of the fraction that is rejected shows.
 constexpr double kRejectionSamples = 20;
-/// Change of the own region's share that is worth a log line: about what may
+/// Change of the own region's share that is worth a log queue: about what may
 /// move in a second. In steps of a tenth, lines came too seldom to tell the
 /// allowed speed from twice of it.
-constexpr double kToldStep = 0.05;
+constexpr double kLoggedShareStep = 0.05;
 /// A service without a request for this long is not in use: the bound on shifts
 /// compares two windows of 2 s.
 constexpr Duration kUnusedAfter = seconds(4);
 /// Milliseconds; keeps the first answers from promising too much.
-constexpr double kLeastWork = 50;
+constexpr double kMinWorkMs = 50;
 /// Part of a server's ends that is expected where none of ours are under way.
-constexpr double kLeastPart = 0.6;
+constexpr double kMinOwnFraction = 0.6;
 
 }  // namespace
 
 SteeredService::SteeredService(size_t regions,
                                size_t own,
                                Duration retry_window)
-    : m_own(own),
+    : m_own_region(own),
       m_by_region(regions),
       m_shares(regions, own),
       m_retries(retry_window),
       m_times(regions) {}
 
-void SteeredService::AddServer(const std::shared_ptr<ServerTrack>& server) {
+void SteeredService::AddServer(const std::shared_ptr<ServerState>& server) {
   m_servers[server->Entry().m_instance] = server;
-  ListOf(*server).Add(server.get());
+  RegionServersOf(*server).Add(server.get());
 }
 
-void SteeredService::UpdateServer(ServerTrack& server,
+void SteeredService::UpdateServer(ServerState& server,
                                   ServerEntry entry,
                                   TimePoint now) {
-  ListOf(server).Update(&server, std::move(entry), now);
+  RegionServersOf(server).Update(&server, std::move(entry), now);
 }
 
-uint64_t SteeredService::ServersLookedAt() const {
+uint64_t SteeredService::ServersExamined() const {
   uint64_t servers = 0;
-  for (const ServerRoster& list : m_by_region) {
-    servers += list.LookedAt();
+  for (const RegionServers& list : m_by_region) {
+    servers += list.Examined();
   }
   return servers;
 }
@@ -61,11 +61,11 @@
   if (it == m_servers.end()) {
     return;
   }
-  ListOf(*it->second).Remove(it->second.get());
+  RegionServersOf(*it->second).Remove(it->second.get());
   m_servers.erase(it);
 }
 
-void SteeredService::CountEnd(const ServerTrack& server,
+void SteeredService::CountEnd(const ServerState& server,
                               const AttemptReport& report) {
   const bool has_free_slot =
       report.m_load && report.m_load->m_running < report.m_load->m_slots;
@@ -78,35 +78,37 @@
   }
 }
 
-LineState SteeredService::Line(const ServerTrack* server, TimePoint now) const {
-  LineState line;
+QueueState SteeredService::QueueAt(const ServerState* server,
+                                   TimePoint now) const {
+  QueueState queue;
   if (server == nullptr) {
-    line.m_usual_latency = m_times.Usual(m_own);
-    return line;
+    queue.m_usual_latency = m_times.Usual(m_own_region);
+    return queue;
   }
-  line.m_usual_latency = m_times.Usual(server->Region());
-  line.m_ahead = server->Waiting();
+  queue.m_usual_latency = m_times.Usual(server->Region());
+  queue.m_ahead = server->Waiting();
   const double work_s =
-      std::max(kLeastWork, ToMilliseconds(m_times.Work(server->Region()))) /
+      std::max(kMinWorkMs, ToMilliseconds(m_times.Work(server->Region()))) /
       1000;
-  // Slots that come free go to whoever sends first: to us by our part.
+  // Slots that come free go to whoever sends first: to us by our fraction.
   const double occupancy = std::max(1.0, server->Occupancy(now));
-  const double part = std::max(kLeastPart, server->InFlight() / occupancy);
-  line.m_ends_per_second = server->Entry().m_slots * part / work_s;
-  return line;
+  const double fraction =
+      std::max(kMinOwnFraction, server->InFlight() / occupancy);
+  queue.m_completions_per_second = server->Entry().m_slots * fraction / work_s;
+  return queue;
 }
 
 void SteeredService::UpdateShares(const ServerPicker& picker,
                                   const ServiceRules& rules,
-                                  double most_shift_per_second,
+                                  double max_shift_per_second,
                                   const MovedAwayBounds& bounds,
                                   TimePoint now) {
   std::vector<RegionLoad> loads;
   loads.reserve(m_by_region.size());
-  for (ServerRoster& servers : m_by_region) {
+  for (RegionServers& servers : m_by_region) {
     loads.push_back(servers.Measure(picker, rules, now));
   }
-  m_shares.Update(loads, most_shift_per_second, bounds, now);
+  m_shares.Update(loads, max_shift_per_second, bounds, now);
 }
 
 void SteeredService::CountRequest(TimePoint now) {
@@ -119,12 +121,12 @@
   return m_last_request && now - *m_last_request < kUnusedAfter;
 }
 
-std::optional<double> SteeredService::ShareToTell() {
-  const double share = m_shares.Share(m_own);
-  if (std::abs(share - m_told_share) < kToldStep) {
+std::optional<double> SteeredService::ShareToLog() {
+  const double share = m_shares.Share(m_own_region);
+  if (std::abs(share - m_logged_share) < kLoggedShareStep) {
     return std::nullopt;
   }
-  m_told_share = share;
+  m_logged_share = share;
   return share;
 }
 
--- a/src/steer/steered_service.h
+++ b/src/steer/steered_service.h
@@ -14,11 +14,11 @@
 #include "core/ids_type.h"
 #include "core/time_type.h"
 #include "steer/admission.h"
+#include "steer/region_servers.h"
 #include "steer/region_shares.h"
 #include "steer/region_times.h"
 #include "steer/retry_allowance.h"
-#include "steer/server_roster.h"
-#include "steer/server_track.h"
+#include "steer/server_state.h"
 
 namespace sorrelplank {
 
@@ -31,28 +31,28 @@
   /// Regions are numbered by the caller; own is this VM's.
   SteeredService(size_t regions, size_t own, Duration retry_window);
 
-  void AddServer(const std::shared_ptr<ServerTrack>& server);
+  void AddServer(const std::shared_ptr<ServerState>& server);
   void RemoveServer(const std::string& instance);
   /// Takes a newer entry of the same run of a server.
-  void UpdateServer(ServerTrack& server, ServerEntry entry, TimePoint now);
-  ServerRoster& ServersOf(size_t region) { return m_by_region[region]; }
+  void UpdateServer(ServerState& server, ServerEntry entry, TimePoint now);
+  RegionServers& ServersIn(size_t region) { return m_by_region[region]; }
   /// The servers' list that the server is in.
-  ServerRoster& ListOf(const ServerTrack& server) {
+  RegionServers& RegionServersOf(const ServerState& server) {
     return m_by_region[server.Region()];
   }
   /// Servers that were looked at so far to measure regions and to rank.
-  uint64_t ServersLookedAt() const;
+  uint64_t ServersExamined() const;
 
   /// Notes the end of a send.
-  void CountEnd(const ServerTrack& server, const AttemptReport& report);
+  void CountEnd(const ServerState& server, const AttemptReport& report);
   UsualService Usual() const { return {m_latency.Get(), m_rejections}; }
-  /// The line at a server; at none where it is nullptr.
-  LineState Line(const ServerTrack* server, TimePoint now) const;
+  /// The queue at a server; at none where it is nullptr.
+  QueueState QueueAt(const ServerState* server, TimePoint now) const;
 
   /// Measures the load of each region and moves the split.
   void UpdateShares(const ServerPicker& picker,
                     const ServiceRules& rules,
-                    double most_shift_per_second,
+                    double max_shift_per_second,
                     const MovedAwayBounds& bounds,
                     TimePoint now);
 
@@ -63,21 +63,21 @@
 
   const RegionShares& Shares() const { return m_shares; }
   /// The own region's share if it has changed much since this last told it.
-  std::optional<double> ShareToTell();
+  std::optional<double> ShareToLog();
   RetryAllowance& Retries() { return m_retries; }
   /// Waiting requests in the order in which they are served.
   std::list<RequestId>& Waiting() { return m_waiting; }
 
  private:
-  size_t m_own;
-  std::vector<ServerRoster> m_by_region;
-  std::map<std::string, std::shared_ptr<ServerTrack>> m_servers;
+  size_t m_own_region;
+  std::vector<RegionServers> m_by_region;
+  std::map<std::string, std::shared_ptr<ServerState>> m_servers;
   RegionShares m_shares;
-  double m_told_share = 1;
+  double m_logged_share = 1;
   RetryAllowance m_retries;
   std::optional<TimePoint> m_last_request;
   std::list<RequestId> m_waiting;
-  QuantileTrack m_latency{0.5};
+  QuantileEstimator m_latency{0.5};
   RegionTimes m_times;
   double m_rejections = 0;
 };
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -19,15 +19,15 @@
 /// Part of the allowed shift that is moved in a second. The bound is on two
 /// adjacent windows of 2 s, so a steady move of x a second shows as 2 x; the
 /// rest is left for the unevenness of what the windows catch.
-constexpr double kShiftPart = 0.33;
+constexpr double kShiftRateFraction = 0.33;
 /// How much more of its objects one service may have moved away from the own
 /// region, or back to it, than another, as a part of the allowed shift. The
-/// bound holds over all services together: where they stand far apart, a change
-/// of the traffic's mix alone moves requests. The last requests of a burst, two
-/// thirds of them of one service that had moved half away, ran elsewhere by
-/// 0.35 in 2 s. With one of two services come home and the other not, the end
-/// of the other's requests moved 0.32; now 0.06.
-constexpr double kApartPart = 1;
+/// bound holds over all services together: where they stand far max_skew, a
+/// change of the traffic's mix alone moves requests. The last requests of a
+/// burst, two thirds of them of one service that had moved half away, ran
+/// elsewhere by 0.35 in 2 s. With one of two services come home and the other
+/// not, the end of the other's requests moved 0.32; now 0.06.
+constexpr double kServiceSkewFraction = 1;
 
 /// All regions in the order of their numbers.
 std::vector<std::string> RegionsByNumber(const SteeringSettings& settings) {
@@ -100,8 +100,8 @@
   if (organisation == nullptr) {
     // 401 ends a caller's tries for good. A VM that may have missed the version
     // that brought the key can only say that it did not run the request.
-    return m_picker.IsCutOff() ? SteerRefusal::kTableMayBeOld
-                               : SteerRefusal::kUnknownKey;
+    return m_picker.IsDataStale() ? SteerRefusal::kTableMayBeOld
+                                  : SteerRefusal::kUnknownKey;
   }
   request.m_organisation = organisation;
   request.m_allowed_regions &= MaskOf(organisation->m_home_regions);
@@ -128,7 +128,7 @@
                   [](double weight) { return weight <= 0; })) {
     std::fill(weights.begin(), weights.end(), 1);
   }
-  const size_t chosen = m_splits[request.m_route->m_name].Next(weights);
+  const size_t chosen = m_route_splits[request.m_route->m_name].Next(weights);
   request.m_service = shares[chosen].m_service;
 }
 
@@ -143,7 +143,7 @@
     // client would use up one of its few retries and be late by the time to
     // come back; the table is there sooner than it would be back.
     request.m_awaits_table = true;
-    request.m_finish_by =
+    request.m_deadline =
         now + std::min<Duration>(request.m_facts.m_time_left, kMostHeld);
     m_awaiting_table.push_back(id);
     return;
@@ -190,7 +190,7 @@
   }
   const Duration time =
       std::min(request.m_facts.m_time_left, request.m_route->m_timeout);
-  request.m_finish_by = request.m_arrived + time;
+  request.m_deadline = request.m_arrived + time;
   if (m_crashes.IsHeld(request.m_facts.m_digest, now)) {
     // Repeated without end, it would end one server after the other, and with
     // each one the requests of other callers that run there.
@@ -206,43 +206,43 @@
 
 void Steering::Begin(SteeredRequest& request, TimePoint now) {
   Service(request.m_service).CountRequest(now);
-  Place(request, now);
+  Dispatch(request, now);
 }
 
-ServerRoster* Steering::Candidates(const SteeredRequest& request,
-                                   PickNeed& need) {
+RegionServers* Steering::Candidates(const SteeredRequest& request,
+                                    PickCriteria& criteria) {
   SteeredService& service = Service(request.m_service);
   const size_t region = service.Shares().RegionOf(request.m_facts.m_object,
                                                   request.m_allowed_regions);
   if (region >= m_regions.size()) {
     return nullptr;
   }
-  need.m_object = request.m_facts.m_object;
-  need.m_keeps_objects_together = request.m_route->m_keeps_objects_together;
-  need.m_tried = &request.m_tried;
-  need.m_usual = service.Usual();
-  need.m_limits = &m_server_limits;
-  return &service.ServersOf(region);
+  criteria.m_object = request.m_facts.m_object;
+  criteria.m_keeps_objects_together = request.m_route->m_keeps_objects_together;
+  criteria.m_tried = &request.m_tried;
+  criteria.m_usual = service.Usual();
+  criteria.m_limits = &m_server_limits;
+  return &service.ServersIn(region);
 }
 
 Choice Steering::Choose(SteeredRequest& request, TimePoint now) {
-  PickNeed need;
-  ServerRoster* const servers = Candidates(request, need);
+  PickCriteria criteria;
+  RegionServers* const servers = Candidates(request, criteria);
   if (servers == nullptr) {
     return {};
   }
   const ServiceRules& rules = RulesOf(request.m_service);
-  Choice choice = m_picker.Pick(*servers, rules, need, now);
-  if (choice.m_first == nullptr && choice.m_passed_over > 0) {
-    need.m_takes_remote_limited = true;
-    choice = m_picker.Pick(*servers, rules, need, now);
+  Choice choice = m_picker.Pick(*servers, rules, criteria, now);
+  if (choice.m_fastest == nullptr && choice.m_passed_over > 0) {
+    criteria.m_allows_remote_limited = true;
+    choice = m_picker.Pick(*servers, rules, criteria, now);
   }
   request.m_passed_over = choice.m_passed_over;
   return choice;
 }
 
-MovedAwayBounds Steering::BoundsOfMoves(const SteeredService& moving,
-                                        TimePoint now) const {
+MovedAwayBounds Steering::ShiftBounds(const SteeredService& moving,
+                                      TimePoint now) const {
   double least_away = 1;
   double most_away = -1;
   for (const auto& [name, service] : m_services) {
@@ -260,21 +260,21 @@
       most_away = std::max(most_away, shares.MovedAway());
     }
   }
-  const double apart = m_settings.m_most_shift * kApartPart;
-  return {.m_least = most_away - apart,
-          .m_most = std::max(0.0, least_away) + apart};
+  const double max_skew = m_settings.m_max_shift * kServiceSkewFraction;
+  return {.m_least = most_away - max_skew,
+          .m_most = std::max(0.0, least_away) + max_skew};
 }
 
 void Steering::UpdateShares(TimePoint now) {
   for (auto& [name, service] : m_services) {
     service->UpdateShares(m_picker, RulesOf(name),
-                          m_settings.m_most_shift * kShiftPart,
-                          BoundsOfMoves(*service, now), now);
-    const auto share = service->ShareToTell();
+                          m_settings.m_max_shift * kShiftRateFraction,
+                          ShiftBounds(*service, now), now);
+    const auto share = service->ShareToLog();
     if (share) {
       const RegionShares& shares = service->Shares();
-      m_sink(SplitMoved{name, *share, shares.OwnLoad(),
-                        shares.LeastLoadElsewhere()});
+      m_sink(RegionSplitChanged{name, *share, shares.OwnLoad(),
+                                shares.LeastLoadElsewhere()});
     }
   }
 }
@@ -293,7 +293,7 @@
     ids.push_back(id);
   }
   for (const RequestId id : ids) {
-    CheckTime(m_requests.at(id), now);
+    CheckDeadline(m_requests.at(id), now);
   }
   for (auto& [name, service] : m_services) {
     ServeWaiting(*service, now);
--- a/src/steer/steering.h
+++ b/src/steer/steering.h
@@ -16,7 +16,6 @@
 #include "steer/attempt_report_type.h"
 #include "steer/crash_fact_type.h"
 #include "steer/crash_register.h"
-#include "steer/even_dealer.h"
 #include "steer/notice_archive.h"
 #include "steer/organisation_index.h"
 #include "steer/quota_gate.h"
@@ -31,6 +30,7 @@
 #include "steer/steered_request_type.h"
 #include "steer/steered_service.h"
 #include "steer/steering_settings_type.h"
+#include "steer/weighted_round_robin.h"
 
 namespace sorrelplank {
 
@@ -51,7 +51,7 @@
 
   /// Whether nothing new can be learned of servers and configuration at the
   /// moment.
-  void SetCutOff(bool is_cut_off) { m_picker.SetCutOff(is_cut_off); }
+  void SetDataStale(bool is_stale) { m_picker.SetDataStale(is_stale); }
 
   /// Replaces limits; the own place stays.
   void SetLimits(const SteeringSettings& settings);
@@ -82,17 +82,17 @@
   void Tick(TimePoint now);
 
   /// Loads that servers told this VM since this was asked before.
-  std::vector<ServerLoad> TakeUntoldLoads(TimePoint now);
+  std::vector<ServerLoad> TakeUnsharedLoads(TimePoint now);
   /// Loads that another entry VM was told.
-  void TakeLoads(const std::vector<ServerLoad>& loads, TimePoint now);
+  void ApplyPeerLoads(const std::vector<ServerLoad>& loads, TimePoint now);
 
   // Requests that servers ended under.
-  /// What came of CheckServerReach.
+  /// What came of CheckServerReachable.
   void ServerChecked(const std::string& instance,
                      ServerReach reach,
                      TimePoint now);
   /// Another VM saw a server end under a request, so long ago.
-  void TakeCrash(const CrashFact& fact, Duration age, TimePoint now);
+  void ApplyPeerCrash(const CrashFact& fact, Duration age, TimePoint now);
   /// Another VM saw the request answered, or an operator released it.
   void DropCrash(const CrashFact& fact, TimePoint now);
   const CrashRegister& Crashes() const { return m_crashes; }
@@ -107,7 +107,7 @@
   /// Another entry VM asks this one as a keeper.
   QuotaGrant AnswerQuotaAsk(const QuotaAsk& ask, TimePoint now);
   /// What came of AskForTokens.
-  void TakeQuotaGrant(const QuotaGrant& grant, TimePoint now);
+  void ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now);
 
   const RoutingTable* Table() const { return m_table.get(); }
   size_t Running() const { return m_requests.size(); }
@@ -121,7 +121,7 @@
   size_t QuotasKept() const { return m_quota_keeper.Count(); }
   size_t ServerCount() const { return m_servers.size(); }
   /// Servers that decisions looked at so far.
-  uint64_t ServersLookedAt() const;
+  uint64_t ServersExamined() const;
   size_t WaitingCount() const;
   const ServerPicker& Picker() const { return m_picker; }
   const SteeringSettings& Settings() const { return m_settings; }
@@ -130,7 +130,7 @@
   using RequestMap = std::unordered_map<RequestId, SteeredRequest>;
 
   /// A send that was lost, until it is known whether its server ended.
-  struct UnsettledEnd {
+  struct PendingCrashCheck {
     RequestId m_request;
     CrashReport m_report;
   };
@@ -143,7 +143,7 @@
 
   void AddServer(const ServerEntry& entry, size_t region, TimePoint now);
   /// Ends the sends to a run of a server that is over.
-  void EndSendsTo(const ServerTrack& server, TimePoint now);
+  void EndSendsTo(const ServerState& server, TimePoint now);
 
   /// Starts a request on the table in force.
   void Admit(SteeredRequest& request, TimePoint now);
@@ -166,73 +166,79 @@
   void StopAwaitingToken(SteeredRequest& request);
   Choice Choose(SteeredRequest& request, TimePoint now);
   /// Servers of the request's region, and what it needs of them.
-  ServerRoster* Candidates(const SteeredRequest& request, PickNeed& need);
+  RegionServers* Candidates(const SteeredRequest& request,
+                            PickCriteria& criteria);
   /// Sends if the limits allow it, or holds the request for a token of the
   /// server's limit; spends from the retry budget for a second send.
-  bool TrySend(SteeredRequest& request, ServerTrack* server, TimePoint now);
-  bool MaySendAgain(SteeredRequest& request, TimePoint now);
+  bool TrySend(SteeredRequest& request, ServerState* server, TimePoint now);
+  bool MayRetry(SteeredRequest& request, TimePoint now);
   /// Sends to a server with a limit, or holds the request until a keeper has
   /// answered; false where it is known that there is no token.
   bool TakeServerToken(SteeredRequest& request,
-                       ServerTrack* server,
+                       ServerState* server,
                        TimePoint now);
   void SettleServerTokens(const std::vector<QuotaOutcome>& outcomes,
                           TimePoint now);
   void StopAwaitingServer(SteeredRequest& request);
-  void Send(SteeredRequest& request, ServerTrack* server, TimePoint now);
-  void Wait(SteeredRequest& request, ServerTrack* server);
-  void StopWaiting(SteeredRequest& request);
+  void Send(SteeredRequest& request, ServerState* server, TimePoint now);
+  void Enqueue(SteeredRequest& request, ServerState* server);
+  void Dequeue(SteeredRequest& request);
   /// Places requests that wait for the server anew.
-  void MoveWaiting(const ServerTrack& server, TimePoint now);
-  void Place(SteeredRequest& request, TimePoint now);
+  void RequeueWaiting(const ServerState& server, TimePoint now);
+  void Dispatch(SteeredRequest& request, TimePoint now);
   /// A send ended without an answer to forward.
-  void Recover(SteeredRequest& request,
-               AttemptId attempt,
-               AttemptEnd end,
-               TimePoint now);
+  void RetryOrFail(SteeredRequest& request,
+                   AttemptId attempt,
+                   AttemptEnd end,
+                   TimePoint now);
   void ServeWaiting(SteeredService& service, TimePoint now);
-  void CheckTime(SteeredRequest& request, TimePoint now);
-  void SendSecondCopy(SteeredRequest& request, TimePoint now);
+  void CheckDeadline(SteeredRequest& request, TimePoint now);
+  void SendHedge(SteeredRequest& request, TimePoint now);
   void Refuse(SteeredRequest& request, SteerRefusal reason, TimePoint now);
   /// Until the first of the servers that may serve the request takes requests
   /// again; zero where one does now, or none will.
-  Duration UntilServerTakes(const SteeredRequest& request, TimePoint now);
+  Duration TimeUntilServerAvailable(const SteeredRequest& request,
+                                    TimePoint now);
   /// Gives up all sends; counted as lost where the servers had enough time.
-  void CancelLive(SteeredRequest& request, bool counts_as_lost, TimePoint now);
+  void CancelLiveAttempts(SteeredRequest& request,
+                          bool counts_as_lost,
+                          TimePoint now);
   void Forget(RequestId id);
   /// Notes the end of a send, and tells where the server's standing changed.
-  void CountEnd(ServerTrack& server,
+  void CountEnd(ServerState& server,
                 const AttemptReport& report,
                 TimePoint now);
   /// Tells what a server asks of its callers from now on, for logs, and
   /// measures the regions anew where it takes no more requests.
-  void ApplyNotices(const ServerTrack& server,
+  void ApplyNotices(const ServerState& server,
                     const ServerNotices& before,
                     TimePoint now);
   /// Notes whether the server's failure domain is within reach.
-  void CountReach(const ServerTrack& server, AttemptEnd end, TimePoint now);
+  void CountReachability(const ServerState& server,
+                         AttemptEnd end,
+                         TimePoint now);
   /// How far the split of a service may move, so that services stay together.
-  MovedAwayBounds BoundsOfMoves(const SteeredService& moving,
-                                TimePoint now) const;
+  MovedAwayBounds ShiftBounds(const SteeredService& moving,
+                              TimePoint now) const;
   void UpdateShares(TimePoint now);
 
   /// Whether this run of the server is the one that is known.
-  bool IsListed(const ServerTrack& server) const;
+  bool IsListed(const ServerState& server) const;
   /// Whether a send that this server lost may have ended it.
-  bool MayHaveEndedIn(const ServerTrack& server) const;
+  bool MayHaveCrashed(const ServerState& server) const;
   /// Whether a server ended under the request.
   bool IsSuspect(const SteeredRequest& request, TimePoint now) const;
   static CrashReport ReportOf(const SteeredRequest& request,
-                              const ServerTrack& server);
+                              const ServerState& server);
   /// Whether servers that ended under the request forbid to send it on.
-  bool MayCrashNext(const SteeredRequest& request, TimePoint now) const;
+  bool IsResendForbidden(const SteeredRequest& request, TimePoint now) const;
   /// A server lost the request; it may have ended under it.
   void CountLost(SteeredRequest& request,
-                 const ServerTrack& server,
+                 const ServerState& server,
                  bool server_ended,
                  TimePoint now);
   /// Asks whether the server that lost the request has ended.
-  void CheckServer(const SteeredRequest& request, const ServerTrack& server);
+  void CheckServer(const SteeredRequest& request, const ServerState& server);
   void NoteOwnCrash(const CrashReport& report, TimePoint now);
   /// Ends all that is under way of the request.
   void HoldBack(const RequestDigest& digest, TimePoint now);
@@ -247,12 +253,12 @@
   std::shared_ptr<const RoutingTable> m_table;
   std::unique_ptr<RouteIndex> m_index;
   std::unique_ptr<OrganisationIndex> m_organisations;
-  std::map<std::string, EvenDealer> m_splits;
+  std::map<std::string, WeightedRoundRobin> m_route_splits;
   std::map<std::string, std::unique_ptr<SteeredService>> m_services;
-  std::map<std::string, std::shared_ptr<ServerTrack>> m_servers;
-  std::unordered_map<NameHash, std::shared_ptr<ServerTrack>> m_servers_by_hash;
-  /// Servers that told this VM their load since TakeUntoldLoads was asked.
-  std::set<std::string> m_untold;
+  std::map<std::string, std::shared_ptr<ServerState>> m_servers;
+  std::unordered_map<NameHash, std::shared_ptr<ServerState>> m_servers_by_hash;
+  /// Servers that told this VM their load since TakeUnsharedLoads was asked.
+  std::set<std::string> m_unshared_loads;
   RequestMap m_requests;
   uint64_t m_next_attempt = 1;
   bool m_refuses_new = false;
@@ -267,7 +273,7 @@
   bool m_may_be_replaced = false;
   CrashRegister m_crashes;
   /// By the server's instance.
-  std::map<std::string, std::vector<UnsettledEnd>> m_unsettled_ends;
+  std::map<std::string, std::vector<PendingCrashCheck>> m_pending_crash_checks;
   /// Of this VM, by its name.
   double m_removal_spread = 0;
   TimePoint m_crashes_swept{};
--- a/src/steer/steering_crashes.cc
+++ b/src/steer/steering_crashes.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-bool Steering::MayHaveEndedIn(const ServerTrack& server) const {
+bool Steering::MayHaveCrashed(const ServerState& server) const {
   // One that leaves may close its connections at its planned end.
   return IsListed(server) && m_picker.IsUsable(server);
 }
@@ -28,13 +28,13 @@
   return m_crashes.Ends(request.m_facts.m_digest, now) > 0;
 }
 
-bool Steering::MayCrashNext(const SteeredRequest& request,
-                            TimePoint now) const {
+bool Steering::IsResendForbidden(const SteeredRequest& request,
+                                 TimePoint now) const {
   return m_crashes.Ends(request.m_facts.m_digest, now) >= kEndsWithoutResend;
 }
 
 void Steering::CountLost(SteeredRequest& request,
-                         const ServerTrack& server,
+                         const ServerState& server,
                          bool server_ended,
                          TimePoint now) {
   ++request.m_lost_sends;
@@ -42,20 +42,20 @@
     NoteOwnCrash(ReportOf(request, server), now);
     return;
   }
-  if (!MayHaveEndedIn(server)) {
+  if (!MayHaveCrashed(server)) {
     return;
   }
   const size_t ends = m_crashes.Ends(request.m_facts.m_digest, now) + 1;
   // Sent on before the check, it could end the next server. One that was at no
   // end before, and was lost for the first time, does not wait.
   request.m_awaits_check =
-      request.m_route->m_idempotent && request.m_live.empty() &&
+      request.m_route->m_idempotent && request.m_live_attempts.empty() &&
       std::max<size_t>(ends, request.m_lost_sends) >= kEndsWithoutResend;
   CheckServer(request, server);
 }
 
 CrashReport Steering::ReportOf(const SteeredRequest& request,
-                               const ServerTrack& server) {
+                               const ServerState& server) {
   return {{request.m_facts.m_digest, RunName(server.Entry())},
           request.m_service,
           request.m_facts.m_host,
@@ -63,32 +63,32 @@
 }
 
 void Steering::CheckServer(const SteeredRequest& request,
-                           const ServerTrack& server) {
+                           const ServerState& server) {
   const ServerEntry& entry = server.Entry();
-  auto& unsettled = m_unsettled_ends[entry.m_instance];
+  auto& unsettled = m_pending_crash_checks[entry.m_instance];
   unsettled.push_back({request.m_facts.m_request, ReportOf(request, server)});
   if (unsettled.size() == 1) {
-    m_sink(CheckServerReach{entry.m_instance, entry.m_address});
+    m_sink(CheckServerReachable{entry.m_instance, entry.m_address});
   }
 }
 
 void Steering::ServerChecked(const std::string& instance,
                              ServerReach reach,
                              TimePoint now) {
-  const auto it = m_unsettled_ends.find(instance);
-  if (it == m_unsettled_ends.end()) {
+  const auto it = m_pending_crash_checks.find(instance);
+  if (it == m_pending_crash_checks.end()) {
     return;
   }
-  const std::vector<UnsettledEnd> ends = std::move(it->second);
-  m_unsettled_ends.erase(it);
-  for (const UnsettledEnd& end : ends) {
+  const std::vector<PendingCrashCheck> ends = std::move(it->second);
+  m_pending_crash_checks.erase(it);
+  for (const PendingCrashCheck& end : ends) {
     if (reach == ServerReach::kRefuses) {
       NoteOwnCrash(end.m_report, now);
     }
     const auto request = m_requests.find(end.m_request);
     if (request != m_requests.end() && request->second.m_awaits_check) {
       request->second.m_awaits_check = false;
-      Recover(request->second, AttemptId(), AttemptEnd::kLost, now);
+      RetryOrFail(request->second, AttemptId(), AttemptEnd::kLost, now);
     }
   }
 }
@@ -104,7 +104,9 @@
   }
 }
 
-void Steering::TakeCrash(const CrashFact& fact, Duration age, TimePoint now) {
+void Steering::ApplyPeerCrash(const CrashFact& fact,
+                              Duration age,
+                              TimePoint now) {
   if (m_crashes.Note(fact, age, now) == CrashRegister::Change::kHeld) {
     HoldBack(fact.m_digest, now);
   }
@@ -130,8 +132,8 @@
   for (const RequestId id : same) {
     SteeredRequest& request = m_requests.at(id);
     // A server that has not begun with it drops it with its connection.
-    request.m_may_have_run |= !request.m_live.empty();
-    CancelLive(request, false, now);
+    request.m_may_have_run |= !request.m_live_attempts.empty();
+    CancelLiveAttempts(request, false, now);
     Refuse(request, SteerRefusal::kHeldBack, now);
   }
 }
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -30,14 +30,15 @@
   refusal.m_organisation = NameOf(request.m_organisation);
   if (!request.m_service.empty()) {
     SteeredService& service = Service(request.m_service);
-    refusal.m_line = service.Line(Choose(request, now).m_first, now);
+    refusal.m_queue = service.QueueAt(Choose(request, now).m_fastest, now);
     refusal.m_retry_after =
-        ComeBackAfter(refusal.m_line, refusal.m_request.Get());
+        RetryAfter(refusal.m_queue, refusal.m_request.Get());
     refusal.m_passed_over = request.m_passed_over;
     if (reason == SteerRefusal::kNoServer) {
-      refusal.m_retry_after = std::max(
-          refusal.m_retry_after,
-          SpreadLater(UntilServerTakes(request, now), refusal.m_request.Get()));
+      refusal.m_retry_after =
+          std::max(refusal.m_retry_after,
+                   PositiveJitter(TimeUntilServerAvailable(request, now),
+                                  refusal.m_request.Get()));
     }
   }
   if (reason == SteerRefusal::kHeldBack) {
@@ -46,7 +47,7 @@
   const bool lacks_token = reason == SteerRefusal::kOverQuota ||
                            reason == SteerRefusal::kQuotaOutOfReach;
   if (lacks_token) {
-    refusal.m_retry_after = Spread(m_quota_gate.ComeBackAfter(HashOrganisation(
+    refusal.m_retry_after = Jitter(m_quota_gate.ComeBackAfter(HashOrganisation(
                                        request.m_organisation->m_name)),
                                    refusal.m_request.Get());
   }
@@ -63,15 +64,15 @@
   Forget(refusal.m_request);
 }
 
-Duration Steering::UntilServerTakes(const SteeredRequest& request,
-                                    TimePoint now) {
-  PickNeed need;
-  const ServerRoster* const servers = Candidates(request, need);
+Duration Steering::TimeUntilServerAvailable(const SteeredRequest& request,
+                                            TimePoint now) {
+  PickCriteria criteria;
+  const RegionServers* const servers = Candidates(request, criteria);
   if (servers == nullptr) {
     return {};
   }
   std::optional<Duration> first;
-  for (const ServerTrack* server : servers->All()) {
+  for (const ServerState* server : servers->All()) {
     if (m_picker.IsUsable(*server)) {
       const Duration left =
           std::max<Duration>(server->Notices().PausedUntil() - now,
@@ -82,11 +83,11 @@
   return first.value_or(Duration::zero());
 }
 
-void Steering::CancelLive(SteeredRequest& request,
-                          bool counts_as_lost,
-                          TimePoint now) {
+void Steering::CancelLiveAttempts(SteeredRequest& request,
+                                  bool counts_as_lost,
+                                  TimePoint now) {
   const Duration usual = Service(request.m_service).Usual().m_latency;
-  for (const LiveAttempt& live : request.m_live) {
+  for (const LiveAttempt& live : request.m_live_attempts) {
     const bool is_lost = counts_as_lost && live.m_server->HadEnoughTime(
                                                now - live.m_sent, usual, now);
     if (is_lost) {
@@ -98,13 +99,13 @@
     }
     m_sink(CancelSend{request.m_facts.m_request, live.m_attempt});
   }
-  request.m_live.clear();
+  request.m_live_attempts.clear();
 }
 
-void Steering::EndSendsTo(const ServerTrack& server, TimePoint now) {
+void Steering::EndSendsTo(const ServerState& server, TimePoint now) {
   std::vector<std::pair<RequestId, AttemptId>> sends;
   for (const auto& [id, request] : m_requests) {
-    for (const LiveAttempt& live : request.m_live) {
+    for (const LiveAttempt& live : request.m_live_attempts) {
       if (live.m_server.get() == &server) {
         sends.emplace_back(id, live.m_attempt);
       }
@@ -124,7 +125,7 @@
   }
 }
 
-void Steering::CountEnd(ServerTrack& server,
+void Steering::CountEnd(ServerState& server,
                         const AttemptReport& report,
                         TimePoint now) {
   const UsualService usual = Service(server.Entry().m_service).Usual();
@@ -133,38 +134,39 @@
   server.CountEnd(report, now);
   const std::string& instance = server.Entry().m_instance;
   if (IsListed(server)) {
-    ServerRoster& list = Service(server.Entry().m_service).ListOf(server);
-    list.NoteStanding(&server);
-    list.NoteReport(&server);
-    m_untold.insert(instance);
+    RegionServers& list =
+        Service(server.Entry().m_service).RegionServersOf(server);
+    list.NoteStatusChange(&server);
+    list.NoteLoadReport(&server);
+    m_unshared_loads.insert(instance);
   }
   ApplyNotices(server, notices, now);
-  if (server.FailuresInRow() > failures && server.IsResting(now, usual)) {
-    m_sink(BeliefChanged{"server_rests", instance,
-                         static_cast<double>(server.FailuresInRow())});
+  if (server.FailuresInRow() > failures && server.IsEjected(now, usual)) {
+    m_sink(StateChanged{"server_rests", instance,
+                        static_cast<double>(server.FailuresInRow())});
   } else if (failures > 0 && server.FailuresInRow() == 0) {
-    m_sink(BeliefChanged{"server_recovered", instance,
-                         static_cast<double>(failures)});
+    m_sink(StateChanged{"server_recovered", instance,
+                        static_cast<double>(failures)});
   }
-  CountReach(server, report.m_end, now);
+  CountReachability(server, report.m_end, now);
 }
 
-void Steering::ApplyNotices(const ServerTrack& server,
+void Steering::ApplyNotices(const ServerState& server,
                             const ServerNotices& before,
                             TimePoint now) {
   const std::string& instance = server.Entry().m_instance;
   const ServerNotices& after = server.Notices();
   if (after.MostPerSecond() != before.MostPerSecond()) {
-    m_sink(BeliefChanged{
+    m_sink(StateChanged{
         after.MostPerSecond() ? "server_limit" : "server_unlimited", instance,
         after.MostPerSecond().value_or(0)});
   }
   if (after.IsLeaving() && !before.IsLeaving()) {
-    m_sink(BeliefChanged{"server_says_leaving", instance, 1});
+    m_sink(StateChanged{"server_says_leaving", instance, 1});
   }
   if (after.IsPaused(now) && !before.IsPaused(now)) {
-    m_sink(BeliefChanged{"server_paused", instance,
-                         ToMilliseconds(after.PausedUntil() - now) / 1000});
+    m_sink(StateChanged{"server_paused", instance,
+                        ToMilliseconds(after.PausedUntil() - now) / 1000});
   }
   const bool is_lost_to_region = after.IsLeaving() != before.IsLeaving() ||
                                  after.IsPaused(now) != before.IsPaused(now);
@@ -174,33 +176,33 @@
     UpdateShares(now);
   }
   if (after.WasMalformed() && !before.WasMalformed()) {
-    m_sink(BeliefChanged{"server_notice_malformed", instance, 0});
+    m_sink(StateChanged{"server_notice_malformed", instance, 0});
   }
 }
 
-void Steering::CountReach(const ServerTrack& server,
-                          AttemptEnd end,
-                          TimePoint now) {
+void Steering::CountReachability(const ServerState& server,
+                                 AttemptEnd end,
+                                 TimePoint now) {
   const std::string& domain = server.Entry().m_failure_domain;
   DomainBreaker& breaker = m_picker.Breaker(domain);
   if (end == AttemptEnd::kNotSent) {
     if (breaker.CountUnreached(server.Entry().m_instance, now)) {
-      m_sink(BeliefChanged{"domain_out_of_reach", domain, 0});
+      m_sink(StateChanged{"domain_out_of_reach", domain, 0});
       UpdateShares(now);
     }
     return;
   }
   // A send that is lost may have been written into a link that is cut.
   if (end != AttemptEnd::kLost && breaker.CountReached()) {
-    m_sink(BeliefChanged{"domain_within_reach", domain, 0});
+    m_sink(StateChanged{"domain_within_reach", domain, 0});
   }
 }
 
 void Steering::Forget(RequestId id) {
   const auto it = m_requests.find(id);
-  if (it->second.m_waits) {
+  if (it->second.m_is_queued) {
     Service(it->second.m_service).Waiting().remove(id);
-    StopWaiting(it->second);
+    Dequeue(it->second);
   }
   if (it->second.m_awaits_table) {
     m_awaiting_table.remove(id);
--- a/src/steer/steering_knowledge.cc
+++ b/src/steer/steering_knowledge.cc
@@ -20,7 +20,7 @@
   std::vector<RequestId> waiting;
   std::vector<RequestId> awaiting_token;
   for (const auto& [id, request] : m_requests) {
-    if (request.m_waits || request.m_awaits_server) {
+    if (request.m_is_queued || request.m_awaits_server) {
       waiting.push_back(id);
     } else if (request.m_awaits_token) {
       awaiting_token.push_back(id);
@@ -46,12 +46,12 @@
       StopAwaitingServer(request);
     } else {
       Service(service).Waiting().remove(id);
-      StopWaiting(request);
+      Dequeue(request);
     }
     if (refusal) {
       Refuse(request, *refusal, now);
     } else {
-      Place(request, now);
+      Dispatch(request, now);
     }
   }
 }
@@ -89,14 +89,14 @@
 void Steering::AddServer(const ServerEntry& entry,
                          size_t region,
                          TimePoint now) {
-  const auto server = std::make_shared<ServerTrack>(entry, region, now);
+  const auto server = std::make_shared<ServerState>(entry, region, now);
   server->RestoreNotices(m_notice_archive.Take(entry, now));
   m_servers[entry.m_instance] = server;
   m_servers_by_hash[HashName(entry.m_instance)] = server;
   Service(entry.m_service).AddServer(server);
 }
 
-bool Steering::IsListed(const ServerTrack& server) const {
+bool Steering::IsListed(const ServerState& server) const {
   const auto known = m_servers.find(server.Entry().m_instance);
   return known != m_servers.end() && known->second.get() == &server;
 }
@@ -112,29 +112,32 @@
   m_servers.erase(it);
 }
 
-std::vector<ServerLoad> Steering::TakeUntoldLoads(TimePoint now) {
+std::vector<ServerLoad> Steering::TakeUnsharedLoads(TimePoint now) {
   std::vector<ServerLoad> loads;
-  for (const std::string& instance : m_untold) {
+  for (const std::string& instance : m_unshared_loads) {
     const auto server = m_servers.find(instance);
     if (server == m_servers.end()) {
       continue;
     }
-    const auto load = server->second->TakeUntoldLoad(now);
+    const auto load = server->second->TakeUnsharedLoad(now);
     if (load) {
       loads.push_back(*load);
     }
   }
-  m_untold.clear();
+  m_unshared_loads.clear();
   return loads;
 }
 
-void Steering::TakeLoads(const std::vector<ServerLoad>& loads, TimePoint now) {
+void Steering::ApplyPeerLoads(const std::vector<ServerLoad>& loads,
+                              TimePoint now) {
   for (const ServerLoad& load : loads) {
     const auto it = m_servers_by_hash.find(load.m_server);
     if (it != m_servers_by_hash.end()) {
-      ServerTrack& server = *it->second;
-      server.TakeReport(load.m_load, load.m_age, now);
-      Service(server.Entry().m_service).ListOf(server).NoteReport(&server);
+      ServerState& server = *it->second;
+      server.ApplyLoadReport(load.m_load, load.m_age, now);
+      Service(server.Entry().m_service)
+          .RegionServersOf(server)
+          .NoteLoadReport(&server);
     }
   }
 }
@@ -150,7 +153,7 @@
       // their entries say so only some time later.
       const std::string& service = server->Entry().m_service;
       server->MarkCold(RulesOf(service).m_cold_start, now);
-      Service(service).ListOf(*server).NoteStanding(server.get());
+      Service(service).RegionServersOf(*server).NoteStatusChange(server.get());
     }
   }
   m_picker.SetEvacuated(domains);
@@ -174,7 +177,7 @@
   }
   m_settings.m_cold_factor = settings.m_cold_factor;
   m_settings.m_cold_slack = settings.m_cold_slack;
-  m_settings.m_most_shift = settings.m_most_shift;
+  m_settings.m_max_shift = settings.m_max_shift;
   m_settings.m_quotas = settings.m_quotas;
   m_quota_gate.SetBounds(settings.m_quotas);
   m_quota_keeper.SetBounds(settings.m_quotas);
@@ -198,10 +201,10 @@
   return homes;
 }
 
-uint64_t Steering::ServersLookedAt() const {
+uint64_t Steering::ServersExamined() const {
   uint64_t servers = 0;
   for (const auto& [name, service] : m_services) {
-    servers += service->ServersLookedAt();
+    servers += service->ServersExamined();
   }
   return servers;
 }
--- a/src/steer/steering_limits.cc
+++ b/src/steer/steering_limits.cc
@@ -7,7 +7,7 @@
 namespace sorrelplank {
 
 bool Steering::TakeServerToken(SteeredRequest& request,
-                               ServerTrack* server,
+                               ServerState* server,
                                TimePoint now) {
   const QuotaVerdict verdict =
       m_server_limits.Arrived(request.m_facts.m_request, *server, now);
@@ -39,7 +39,7 @@
     if (verdict == QuotaVerdict::kPass) {
       m_server_limits.Return(*server, now);
     }
-    Place(request, now);
+    Dispatch(request, now);
   }
   AskKeepers(now);
 }
--- a/src/steer/steering_quotas.cc
+++ b/src/steer/steering_quotas.cc
@@ -29,7 +29,7 @@
 void Steering::AskKeepers(TimePoint now) {
   for (QuotaQuestion& question : m_quota_gate.TakeQuestions()) {
     if (question.m_keeper == m_settings.m_vm) {
-      TakeQuotaGrant(AnswerQuotaAsk(question.m_ask, now), now);
+      ApplyQuotaGrant(AnswerQuotaAsk(question.m_ask, now), now);
     } else {
       m_sink(AskForTokens{std::move(question)});
     }
@@ -60,7 +60,7 @@
   return m_quota_keeper.Grant(ask, TermsOf(*organisation), keepers, now);
 }
 
-void Steering::TakeQuotaGrant(const QuotaGrant& grant, TimePoint now) {
+void Steering::ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now) {
   if (m_server_limits.Knows(grant.m_subject)) {
     SettleServerTokens(m_server_limits.TakeGrant(grant, now), now);
     return;
--- a/src/steer/steering_requests.cc
+++ b/src/steer/steering_requests.cc
@@ -12,110 +12,113 @@
 
 /// Waiting requests that are looked at in a row without one finding a server;
 /// then the service is taken as full.
-constexpr int kMostMisses = 8;
+constexpr int kMaxQueueMisses = 8;
 /// A second copy goes out once a send takes this many usual latencies. Work on
 /// an object that is not warm takes 3.3, and as long again in a server's queue;
 /// a copy for those would only take slots.
-constexpr int kSecondCopyFactor = 8;
+constexpr int kHedgeLatencyFactor = 8;
 /// A second send with less time left than this, or than half of the usual
 /// latency, would cost a server work that nobody waits for.
-constexpr Duration kLeastSendTime = milliseconds(50);
+constexpr Duration kMinRetryTime = milliseconds(50);
 /// Part of the retry ratio that is used. The window of one VM ends at another
 /// moment than that of the sum over all, by a tick of a twentieth.
-constexpr double kRetryRatioPart = 0.9;
+constexpr double kRetryRatioFraction = 0.9;
 /// Part of the retry extra that is used: a VM that restarts has forgotten what
 /// it spent in the window and begins with all of its part again.
-constexpr double kRetryExtraPart = 0.45;
+constexpr double kRetryExtraFraction = 0.45;
 /// Servers that one request tries in all. Each one that is down and not yet
 /// known to be so costs a round trip, or the time limit on opening a
 /// connection.
-constexpr size_t kMostTries = 5;
+constexpr size_t kMaxTriedServers = 5;
 
 }  // namespace
 
-void Steering::Place(SteeredRequest& request, TimePoint now) {
+void Steering::Dispatch(SteeredRequest& request, TimePoint now) {
   Choice choice = Choose(request, now);
   // Those who wait for the same server would have been sent if it had room.
-  while (choice.m_first != nullptr && choice.m_first == choice.m_free) {
-    if (TrySend(request, choice.m_first, now)) {
+  while (choice.m_fastest != nullptr &&
+         choice.m_fastest == choice.m_fastest_free) {
+    if (TrySend(request, choice.m_fastest, now)) {
       return;
     }
-    if (m_server_limits.MayTry(*choice.m_first, now)) {
+    if (m_server_limits.MayTry(*choice.m_fastest, now)) {
       break;
     }
     choice = Choose(request, now);
   }
-  if (choice.m_first == nullptr) {
+  if (choice.m_fastest == nullptr) {
     Refuse(request, SteerRefusal::kNoServer, now);
     return;
   }
-  WaitNeed need;
-  need.m_until_target =
+  WaitBudget budget;
+  budget.m_time_to_target =
       request.m_arrived - now + request.m_route->m_target_latency;
-  need.m_until_end = request.m_finish_by - now;
-  const LineState line = Service(request.m_service).Line(choice.m_first, now);
-  if (MayWait(line, need)) {
-    Wait(request, choice.m_first);
+  budget.m_time_to_deadline = request.m_deadline - now;
+  const QueueState queue =
+      Service(request.m_service).QueueAt(choice.m_fastest, now);
+  if (MayWait(queue, budget)) {
+    Enqueue(request, choice.m_fastest);
     return;
   }
-  if (TrySend(request, choice.m_free, now)) {
+  if (TrySend(request, choice.m_fastest_free, now)) {
     return;
   }
   Refuse(request, SteerRefusal::kOverloaded, now);
 }
 
-void Steering::Wait(SteeredRequest& request, ServerTrack* server) {
-  auto& line = Service(request.m_service).Waiting();
-  request.m_waits = true;
-  request.m_waits_for = m_servers.at(server->Entry().m_instance);
-  request.m_waits_for->AddWaiting();
-  const auto later = std::find_if(line.begin(), line.end(), [&](RequestId id) {
-    return request.m_rank.GoesBefore(m_requests.at(id).m_rank);
-  });
-  line.insert(later, request.m_facts.m_request);
+void Steering::Enqueue(SteeredRequest& request, ServerState* server) {
+  auto& queue = Service(request.m_service).Waiting();
+  request.m_is_queued = true;
+  request.m_queued_for = m_servers.at(server->Entry().m_instance);
+  request.m_queued_for->AddWaiting();
+  const auto later =
+      std::find_if(queue.begin(), queue.end(), [&](RequestId id) {
+        return request.m_rank.GoesBefore(m_requests.at(id).m_rank);
+      });
+  queue.insert(later, request.m_facts.m_request);
 }
 
-void Steering::StopWaiting(SteeredRequest& request) {
-  request.m_waits = false;
-  request.m_waits_for->RemoveWaiting();
-  request.m_waits_for.reset();
+void Steering::Dequeue(SteeredRequest& request) {
+  request.m_is_queued = false;
+  request.m_queued_for->RemoveWaiting();
+  request.m_queued_for.reset();
 }
 
-void Steering::MoveWaiting(const ServerTrack& server, TimePoint now) {
-  std::list<RequestId>& line = Service(server.Entry().m_service).Waiting();
+void Steering::RequeueWaiting(const ServerState& server, TimePoint now) {
+  std::list<RequestId>& queue = Service(server.Entry().m_service).Waiting();
   std::vector<RequestId> moved;
-  for (const RequestId id : line) {
-    if (m_requests.at(id).m_waits_for.get() == &server) {
+  for (const RequestId id : queue) {
+    if (m_requests.at(id).m_queued_for.get() == &server) {
       moved.push_back(id);
     }
   }
   for (const RequestId id : moved) {
     SteeredRequest& request = m_requests.at(id);
-    line.remove(id);
-    StopWaiting(request);
-    Place(request, now);
+    queue.remove(id);
+    Dequeue(request);
+    Dispatch(request, now);
   }
 }
 
-bool Steering::MaySendAgain(SteeredRequest& request, TimePoint now) {
-  if (request.m_resend_paid) {
+bool Steering::MayRetry(SteeredRequest& request, TimePoint now) {
+  if (request.m_is_retry_charged) {
     return true;
   }
-  if (request.m_arrivals >= request.m_route->m_most_sends ||
-      request.m_tried.size() >= kMostTries) {
+  if (request.m_started_sends >= request.m_route->m_most_sends ||
+      request.m_tried.size() >= kMaxTriedServers) {
     return false;
   }
   if (request.m_may_have_run && !request.m_route->m_idempotent) {
     return false;
   }
-  if (request.m_lost_sends > 0 && MayCrashNext(request, now)) {
+  if (request.m_lost_sends > 0 && IsResendForbidden(request, now)) {
     return false;
   }
   const Duration usual = Service(request.m_service).Usual().m_latency;
-  if (request.m_finish_by - now < std::max(kLeastSendTime, usual / 2)) {
+  if (request.m_deadline - now < std::max(kMinRetryTime, usual / 2)) {
     return false;
   }
-  if (request.m_arrivals == 0) {
+  if (request.m_started_sends == 0) {
     // The budget protects servers from more work than the callers ask for. What
     // reached none is no work; paid for it, the budget was spent within a
     // second of a failure domain's loss, and all that met its servers were
@@ -124,21 +127,21 @@
   }
   const double vms =
       std::max<double>(1, static_cast<double>(m_picker.Fleet().size()));
-  request.m_resend_paid =
+  request.m_is_retry_charged =
       Service(request.m_service)
           .Retries()
-          .TrySpend(m_settings.m_retry_ratio * kRetryRatioPart,
-                    m_settings.m_retry_extra * kRetryExtraPart / vms, now);
-  return request.m_resend_paid;
+          .TrySpend(m_settings.m_retry_ratio * kRetryRatioFraction,
+                    m_settings.m_retry_extra * kRetryExtraFraction / vms, now);
+  return request.m_is_retry_charged;
 }
 
 bool Steering::TrySend(SteeredRequest& request,
-                       ServerTrack* server,
+                       ServerState* server,
                        TimePoint now) {
   if (server == nullptr || !m_picker.MaySend(*server, now)) {
     return false;
   }
-  if (!request.m_tried.empty() && !MaySendAgain(request, now)) {
+  if (!request.m_tried.empty() && !MayRetry(request, now)) {
     return false;
   }
   const auto rate_limit =
@@ -154,7 +157,7 @@
 }
 
 void Steering::Send(SteeredRequest& request,
-                    ServerTrack* server,
+                    ServerState* server,
                     TimePoint now) {
   const AttemptId attempt(m_next_attempt++);
   const ServerEntry& entry = server->Entry();
@@ -163,10 +166,11 @@
     UpdateShares(now);
   }
   server->MarkWarmFor(request.m_facts.m_object, now);
-  request.m_resend_paid = false;
-  request.m_live.push_back({attempt, m_servers.at(entry.m_instance), now});
+  request.m_is_retry_charged = false;
+  request.m_live_attempts.push_back(
+      {attempt, m_servers.at(entry.m_instance), now});
   request.m_tried.push_back(entry.m_instance);
-  ++request.m_arrivals;
+  ++request.m_started_sends;
   const size_t most_kept = MostKeptConnections(
       RulesOf(entry.m_service).m_most_connections, m_picker.Fleet().size());
   m_sink(
@@ -174,11 +178,11 @@
                    .m_attempt = attempt,
                    .m_instance = entry.m_instance,
                    .m_address = entry.m_address,
-                   .m_time_left = request.m_finish_by - now,
+                   .m_time_left = request.m_deadline - now,
                    .m_idempotent = request.m_route->m_idempotent,
                    .m_organisation = NameOf(request.m_organisation),
-                   .m_keeps_key = request.m_table->m_organisations.has_value(),
-                   .m_most_kept = most_kept,
+                   .m_strips_key = request.m_table->m_organisations.has_value(),
+                   .m_max_idle_connections = most_kept,
                    .m_service = request.m_service,
                    .m_region = m_regions[server->Region()],
                    .m_occupancy = server->Occupancy(now),
@@ -197,33 +201,33 @@
   }
   SteeredRequest& request = it->second;
   const auto live = std::find_if(
-      request.m_live.begin(), request.m_live.end(),
+      request.m_live_attempts.begin(), request.m_live_attempts.end(),
       [&](const LiveAttempt& one) { return one.m_attempt == attempt; });
-  if (live == request.m_live.end()) {
+  if (live == request.m_live_attempts.end()) {
     return;
   }
-  const std::shared_ptr<ServerTrack> server = live->m_server;
+  const std::shared_ptr<ServerState> server = live->m_server;
   CountEnd(*server, report, now);
   if (report.m_end == AttemptEnd::kWrongInstance) {
     server->MarkGone();
     if (IsListed(*server)) {
       Service(server->Entry().m_service)
-          .ListOf(*server)
-          .NoteStanding(server.get());
+          .RegionServersOf(*server)
+          .NoteStatusChange(server.get());
     }
   }
-  request.m_live.erase(live);
+  request.m_live_attempts.erase(live);
   if (report.m_end == AttemptEnd::kNotSent) {
-    --request.m_arrivals;
+    --request.m_started_sends;
   }
   SteeredService& service = Service(request.m_service);
   service.CountEnd(*server, report);
   if (!m_picker.MaySend(*server, now)) {
-    MoveWaiting(*server, now);
+    RequeueWaiting(*server, now);
   }
   if (report.m_end == AttemptEnd::kAnswered) {
     ClearSuspicion(request.m_facts.m_digest, now);
-    CancelLive(request, false, now);
+    CancelLiveAttempts(request, false, now);
     m_sink(ForwardServerAnswer{id, attempt});
     Forget(id);
   } else {
@@ -234,24 +238,24 @@
     // Held back by what this end tells, it has its answer already.
     const bool is_open = m_requests.contains(id);
     if (is_open && !request.m_awaits_check) {
-      Recover(request, attempt, report.m_end, now);
+      RetryOrFail(request, attempt, report.m_end, now);
     }
   }
   ServeWaiting(service, now);
 }
 
-void Steering::Recover(SteeredRequest& request,
-                       AttemptId attempt,
-                       AttemptEnd end,
-                       TimePoint now) {
-  if (!request.m_live.empty()) {
+void Steering::RetryOrFail(SteeredRequest& request,
+                           AttemptId attempt,
+                           AttemptEnd end,
+                           TimePoint now) {
+  if (!request.m_live_attempts.empty()) {
     return;
   }
-  if (MaySendAgain(request, now)) {
-    Place(request, now);
+  if (MayRetry(request, now)) {
+    Dispatch(request, now);
     return;
   }
-  if (end == AttemptEnd::kServerError || end == AttemptEnd::kOutOfTime) {
+  if (end == AttemptEnd::kServerError || end == AttemptEnd::kDeadlineExceeded) {
     m_sink(ForwardServerAnswer{request.m_facts.m_request, attempt});
     Forget(request.m_facts.m_request);
     return;
@@ -260,19 +264,20 @@
 }
 
 void Steering::ServeWaiting(SteeredService& service, TimePoint now) {
-  auto& line = service.Waiting();
+  auto& queue = service.Waiting();
   int misses = 0;
-  for (auto it = line.begin(); it != line.end() && misses < kMostMisses;) {
+  for (auto it = queue.begin();
+       it != queue.end() && misses < kMaxQueueMisses;) {
     SteeredRequest& request = m_requests.at(*it);
     const Choice choice = Choose(request, now);
-    const bool may_send = choice.m_first == choice.m_free;
-    if (!may_send || !TrySend(request, choice.m_free, now)) {
+    const bool may_send = choice.m_fastest == choice.m_fastest_free;
+    if (!may_send || !TrySend(request, choice.m_fastest_free, now)) {
       ++misses;
       ++it;
       continue;
     }
-    StopWaiting(request);
-    it = line.erase(it);
+    Dequeue(request);
+    it = queue.erase(it);
   }
 }
 
@@ -285,53 +290,53 @@
   if (!was_sent) {
     ReturnToken(it->second, now);
   }
-  CancelLive(it->second, false, now);
+  CancelLiveAttempts(it->second, false, now);
   Forget(id);
 }
 
-void Steering::CheckTime(SteeredRequest& request, TimePoint now) {
+void Steering::CheckDeadline(SteeredRequest& request, TimePoint now) {
   if (request.m_awaits_table) {
-    if (now >= request.m_finish_by) {
+    if (now >= request.m_deadline) {
       Refuse(request, SteerRefusal::kNotReady, now);
     }
     return;
   }
   if (request.m_awaits_token || request.m_awaits_server) {
-    if (now >= request.m_finish_by) {
+    if (now >= request.m_deadline) {
       Refuse(request, SteerRefusal::kTooLate, now);
     }
     return;
   }
-  if (now >= request.m_finish_by) {
-    const bool runs = !request.m_live.empty();
-    CancelLive(request, true, now);
+  if (now >= request.m_deadline) {
+    const bool runs = !request.m_live_attempts.empty();
+    CancelLiveAttempts(request, true, now);
     Refuse(request, runs ? SteerRefusal::kTimedOut : SteerRefusal::kTooLate,
            now);
     return;
   }
-  if (request.m_waits) {
+  if (request.m_is_queued) {
     const Duration usual = Service(request.m_service).Usual().m_latency;
-    if (now + usual / 2 > request.m_finish_by) {
+    if (now + usual / 2 > request.m_deadline) {
       Refuse(request, SteerRefusal::kTooLate, now);
     }
     return;
   }
-  SendSecondCopy(request, now);
+  SendHedge(request, now);
 }
 
-void Steering::SendSecondCopy(SteeredRequest& request, TimePoint now) {
-  if (!request.m_route->m_idempotent || request.m_live.size() != 1 ||
+void Steering::SendHedge(SteeredRequest& request, TimePoint now) {
+  if (!request.m_route->m_idempotent || request.m_live_attempts.size() != 1 ||
       IsSuspect(request, now)) {
     return;
   }
   const Duration usual = Service(request.m_service).Usual().m_latency;
-  const Duration patience =
-      std::max(kSecondCopyFactor * usual, request.m_route->m_target_latency);
+  const Duration hedge_delay =
+      std::max(kHedgeLatencyFactor * usual, request.m_route->m_target_latency);
   if (usual == Duration::zero() ||
-      now - request.m_live.front().m_sent < patience) {
+      now - request.m_live_attempts.front().m_sent < hedge_delay) {
     return;
   }
-  ServerTrack* const server = Choose(request, now).m_free;
+  ServerState* const server = Choose(request, now).m_fastest_free;
   // A copy is not worth a token that another request may be sent with.
   if (server != nullptr && !server->Notices().MostPerSecond()) {
     TrySend(request, server, now);
--- a/src/steer/steering_settings_type.h
+++ b/src/steer/steering_settings_type.h
@@ -28,7 +28,7 @@
   double m_cold_slack = 0;
   /// Largest part of a region's requests that may change the region they run
   /// in between two adjacent windows of 2 s.
-  double m_most_shift = 0.15;
+  double m_max_shift = 0.15;
   QuotaBounds m_quotas = {};
 };
 
--- a/src/steer/even_dealer.cc
+++ b/src/steer/weighted_round_robin.cc
@@ -1,6 +1,6 @@
-/// @file even_dealer.cc Smooth weighted round robin.
+/// @file weighted_round_robin.cc Smooth weighted round robin.
 
-#include "steer/even_dealer.h"
+#include "steer/weighted_round_robin.h"
 
 #include <numeric>
 
@@ -8,7 +8,7 @@
 
 namespace sorrelplank {
 
-size_t EvenDealer::Next(const std::vector<double>& weights) {
+size_t WeightedRoundRobin::Next(const std::vector<double>& weights) {
   m_credit.resize(weights.size(), 0);
   const double total = std::accumulate(weights.begin(), weights.end(), 0.0);
   Invariant(total > 0, "a deal needs a part with weight");
--- a/src/steer/even_dealer.h
+++ b/src/steer/weighted_round_robin.h
@@ -1,7 +1,7 @@
-/// @file even_dealer.h Deals turns in proportion to weights.
+/// @file weighted_round_robin.h Deals turns in proportion to weights.
 
-#ifndef SORRELPLANK_STEER_EVEN_DEALER_H_
-#define SORRELPLANK_STEER_EVEN_DEALER_H_
+#ifndef SORRELPLANK_STEER_WEIGHTED_ROUND_ROBIN_H_
+#define SORRELPLANK_STEER_WEIGHTED_ROUND_ROBIN_H_
 
 #include <cstddef>
 #include <vector>
@@ -11,7 +11,7 @@
 /// Smooth weighted round robin: after any number of turns each part is within
 /// one turn of its share. Drawing at random would be off by several percent
 /// over the few hundred requests that a split is judged by.
-class EvenDealer {
+class WeightedRoundRobin {
  public:
   /// Index of the part whose turn it is. Weights may change between turns; at
   /// least one must be above zero.
@@ -23,4 +23,4 @@
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_STEER_EVEN_DEALER_H_
+#endif  // SORRELPLANK_STEER_WEIGHTED_ROUND_ROBIN_H_
--- a/tests/crash_world.cc
+++ b/tests/crash_world.cc
@@ -107,7 +107,7 @@
     }
   }
   for (const CrashFact& fact : m_store) {
-    steering.TakeCrash(fact, seconds(1), m_queue.Now());
+    steering.ApplyPeerCrash(fact, seconds(1), m_queue.Now());
   }
 }
 
@@ -192,7 +192,7 @@
         DescribeSteerRefusal(refusal->m_reason).m_verdict == Verdict::kNotRun;
     Finish(vm, refusal->m_request,
            is_not_run ? CrashWorldEnd::kRefused : CrashWorldEnd::kFailed);
-  } else if (const auto* check = std::get_if<CheckServerReach>(&action)) {
+  } else if (const auto* check = std::get_if<CheckServerReachable>(&action)) {
     Check(vm, *check);
   } else if (const auto* suspected = std::get_if<RequestSuspected>(&action)) {
     ++m_suspected;
@@ -206,7 +206,7 @@
   }
 }
 
-void CrashWorld::Check(size_t vm, const CheckServerReach& action) {
+void CrashWorld::Check(size_t vm, const CheckServerReachable& action) {
   m_queue.After(2 * kLink, [this, vm, instance = action.m_instance] {
     const bool is_up = std::any_of(
         m_servers.begin(), m_servers.end(),
@@ -232,7 +232,7 @@
         continue;
       }
       if (counts) {
-        other->m_steering->TakeCrash(fact, m_news, m_queue.Now());
+        other->m_steering->ApplyPeerCrash(fact, m_news, m_queue.Now());
       } else {
         other->m_steering->DropCrash(fact, m_queue.Now());
       }
--- a/tests/crash_world.h
+++ b/tests/crash_world.h
@@ -88,7 +88,7 @@
 
   void Take(size_t vm, const SteerAction& action);
   void Send(size_t vm, const SendToServer& action);
-  void Check(size_t vm, const CheckServerReach& action);
+  void Check(size_t vm, const CheckServerReachable& action);
   void Tell(size_t vm, const CrashFact& fact, bool counts);
   void Cancel(size_t vm, const CancelSend& action);
   void Finish(size_t vm, RequestId request, CrashWorldEnd end);
--- a/tests/crashing_request_test.cc
+++ b/tests/crashing_request_test.cc
@@ -121,7 +121,7 @@
 
   void TellEnds(std::initializer_list<const char*> runs) {
     for (const char* run : runs) {
-      m_steering.TakeCrash({m_digest, run}, seconds(1), m_now);
+      m_steering.ApplyPeerCrash({m_digest, run}, seconds(1), m_now);
     }
   }
   SendToServer SendAgain(const std::string& path) {
@@ -221,7 +221,7 @@
   put("b", milliseconds(1000));
   put(fixture.SendAgain("/write/x").m_instance, milliseconds(2000));
   cr_assert_eq(fixture.Ends(), 1);
-  cr_assert_eq(fixture.Count<CheckServerReach>(), 0);
+  cr_assert_eq(fixture.Count<CheckServerReachable>(), 0);
 }
 
 // A server that leaves closes its connections at its planned end.
@@ -231,7 +231,7 @@
   fixture.PutServer(send.m_instance, send.m_instance == "a" ? "d1" : "d2",
                     true);
   fixture.End(send, AttemptEnd::kLost);
-  cr_assert_eq(fixture.Count<CheckServerReach>(), 0);
+  cr_assert_eq(fixture.Count<CheckServerReachable>(), 0);
 }
 
 }  // namespace
--- a/tests/load_exchange_test.cc
+++ b/tests/load_exchange_test.cc
@@ -99,7 +99,7 @@
   const std::string first = fixture.Last<SendToServer>()->m_instance;
   fixture.End(*fixture.Last<SendToServer>(), AttemptEnd::kAnswered);
   fixture.Pass(seconds(5));
-  fixture.m_steering.TakeLoads(
+  fixture.m_steering.ApplyPeerLoads(
       {{HashName(first), {.m_running = 2, .m_waiting = 12}, milliseconds(10)}},
       fixture.m_now);
   fixture.Arrive("/read/y", 5);
@@ -120,7 +120,7 @@
   report.m_load = ReportedLoad{.m_running = 1, .m_waiting = 0, .m_slots = 2};
   fixture.m_steering.Ended(first.m_request, first.m_attempt, report,
                            fixture.m_now);
-  fixture.m_steering.TakeLoads(
+  fixture.m_steering.ApplyPeerLoads(
       {{HashName(first.m_instance), {.m_running = 2, .m_waiting = 12}, {}}},
       fixture.m_now);
   fixture.Pass(milliseconds(300));
@@ -131,11 +131,11 @@
 
 // A report that this VM received itself is newer than what it is told.
 Test(LoadExchange, OlderLoad_Told_ChangesNothing) {
-  ServerTrack server({"a", "s", {1, 80}, "d1", 2, false, {}}, 0, TimePoint());
+  ServerState server({"a", "s", {1, 80}, "d1", 2, false, {}}, 0, TimePoint());
   const TimePoint now(seconds(10));
-  server.TakeReport({.m_running = 1}, Duration::zero(), now);
-  server.TakeReport({.m_running = 9}, milliseconds(300),
-                    now + milliseconds(50));
+  server.ApplyLoadReport({.m_running = 1}, Duration::zero(), now);
+  server.ApplyLoadReport({.m_running = 9}, milliseconds(300),
+                         now + milliseconds(50));
   cr_assert_float_eq(*server.RecentLoad(now + milliseconds(50)), 1, 0.001);
 }
 
@@ -148,8 +148,8 @@
                        .m_latency = milliseconds(100)};
   fixture.m_steering.Ended(send.m_request, send.m_attempt, report,
                            fixture.m_now);
-  cr_assert_eq(fixture.m_steering.TakeUntoldLoads(fixture.m_now).size(), 1);
-  cr_assert_eq(fixture.m_steering.TakeUntoldLoads(fixture.m_now).size(), 0);
+  cr_assert_eq(fixture.m_steering.TakeUnsharedLoads(fixture.m_now).size(), 1);
+  cr_assert_eq(fixture.m_steering.TakeUnsharedLoads(fixture.m_now).size(), 0);
 }
 
 }  // namespace
--- a/tests/organisation_test.cc
+++ b/tests/organisation_test.cc
@@ -50,7 +50,7 @@
   g_fixture->ArriveWithKey("/read/x", "k-byte");
   const SendToServer& send = *g_fixture->Last<SendToServer>();
   cr_assert_str_eq(send.m_organisation.c_str(), "byte");
-  cr_assert(send.m_keeps_key);
+  cr_assert(send.m_strips_key);
 }
 
 Test(Organisations, NoKeyOrUnknownKey_Request_Is401) {
@@ -72,23 +72,23 @@
 // told apart by nothing that we have checked.
 Test(Organisations, PublicRoute_RequestWithKey_HidesTheKey) {
   g_fixture->ArriveWithKey("/open/x", "k-acme");
-  cr_assert(g_fixture->Last<SendToServer>()->m_keeps_key);
+  cr_assert(g_fixture->Last<SendToServer>()->m_strips_key);
 }
 
 Test(Organisations, NoOrganisationsConfigured_Request_NeedsNoKey) {
   g_fixture->Install(3, {MakeRoute("/read/", true)});
   g_fixture->Arrive("/read/x");
   cr_assert_eq(g_fixture->Count<SendToServer>(), 1);
-  cr_assert_not(g_fixture->Last<SendToServer>()->m_keeps_key);
+  cr_assert_not(g_fixture->Last<SendToServer>()->m_strips_key);
 }
 
 // A VM that the store turned away has not heard of a new key. 401 would end the
 // caller's tries, though the VM beside it knows the key.
 Test(Organisations, CutOffFromStore_UnknownKey_IsToldToComeBack) {
-  g_fixture->m_steering.SetCutOff(true);
+  g_fixture->m_steering.SetDataStale(true);
   g_fixture->ArriveWithKey("/read/x", "k-new");
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kTableMayBeOld);
-  g_fixture->m_steering.SetCutOff(false);
+  g_fixture->m_steering.SetDataStale(false);
   g_fixture->ArriveWithKey("/read/x", "k-new");
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kUnknownKey);
 }
--- a/tests/quota_gate_test.cc
+++ b/tests/quota_gate_test.cc
@@ -318,11 +318,11 @@
   fixture.m_steering.ClientLeft(id, fixture.m_now);
   cr_assert_eq(fixture.m_steering.AwaitingTokens(), 0);
   const QuotaAsk ask = fixture.Last<AskForTokens>()->m_question.m_ask;
-  fixture.m_steering.TakeQuotaGrant({.m_subject = ask.m_subject,
-                                     .m_number = ask.m_number,
-                                     .m_tokens = 1,
-                                     .m_is_keeper = true},
-                                    fixture.m_now);
+  fixture.m_steering.ApplyQuotaGrant({.m_subject = ask.m_subject,
+                                      .m_number = ask.m_number,
+                                      .m_tokens = 1,
+                                      .m_is_keeper = true},
+                                     fixture.m_now);
   cr_assert_eq(fixture.Count<SendToServer>(), 0);
 }
 
--- a/tests/server_leaving_test.cc
+++ b/tests/server_leaving_test.cc
@@ -37,7 +37,7 @@
 // Guards against sends to a leaving server while the store cannot tell of it.
 Test(ServerLeaving, AnswerSaysSo_StoreIsAway_NothingMoreIsSent) {
   g_fixture->SayLeaving();
-  g_fixture->m_steering.SetCutOff(true);
+  g_fixture->m_steering.SetDataStale(true);
   cr_assert_eq(g_fixture->SentTo("a"), 0);
   cr_assert_gt(g_fixture->SentTo("b"), 0);
 }
--- a/tests/server_limit_test.cc
+++ b/tests/server_limit_test.cc
@@ -116,11 +116,11 @@
   /// The keeper grants what was asked for last.
   void Grant() {
     const QuotaAsk ask = Last<AskForTokens>()->m_question.m_ask;
-    m_steering.TakeQuotaGrant({.m_subject = ask.m_subject,
-                               .m_number = ask.m_number,
-                               .m_tokens = ask.m_tokens,
-                               .m_is_keeper = true},
-                              m_now);
+    m_steering.ApplyQuotaGrant({.m_subject = ask.m_subject,
+                                .m_number = ask.m_number,
+                                .m_tokens = ask.m_tokens,
+                                .m_is_keeper = true},
+                               m_now);
   }
 };
 
--- a/tests/steering_fixture.h
+++ b/tests/steering_fixture.h
@@ -24,7 +24,7 @@
           .m_retry_window = seconds(10),
           .m_cold_factor = 1.5,
           .m_cold_slack = 5,
-          .m_most_shift = 0.15};
+          .m_max_shift = 0.15};
 }
 
 inline RouteRule MakeRoute(const std::string& prefix, bool is_idempotent) {
--- a/tests/steering_mix_test.cc
+++ b/tests/steering_mix_test.cc
@@ -40,7 +40,7 @@
   }
 
   void Report(const std::string& server, uint32_t running) {
-    m_steering.TakeLoads({{HashName(server), {running, 0, 2}, {}}}, m_now);
+    m_steering.ApplyPeerLoads({{HashName(server), {running, 0, 2}, {}}}, m_now);
   }
 
   /// Sends a request; whether it ran in the own region.
@@ -69,7 +69,7 @@
   }
 
   /// Part of the requests that run at home if every so many are of "t".
-  double HomePart(uint64_t every) {
+  double HomeFraction(uint64_t every) {
     double at_home = 0;
     for (uint64_t request = 0; request < kRequests; ++request) {
       const bool is_other = request % every == 0;
@@ -96,41 +96,41 @@
 // full there and leaves its own where they are. When the second one's
 // requests stop, a third of the requests runs in another region from one moment
 // to the next, though no split moves.
-Test(SteeringMix, OneServiceCameHome_OtherOnesRequestsStop_StaysInBound) {
+Test(SteeringMix, OneServiceMovedHome_OtherOnesRequestsStop_StaysInBound) {
   g_fixture->RunWithRoomAtHome(seconds(30));
-  const double before = g_fixture->HomePart(2);
-  const double after = g_fixture->HomePart(kRequests);
+  const double before = g_fixture->HomeFraction(2);
+  const double after = g_fixture->HomeFraction(kRequests);
   cr_assert_leq(std::abs(after - before), kMostShift, "%.2f at home, then %.2f",
                 before, after);
 }
 
 // The other service has all its servers elsewhere, and can never come home.
-Test(SteeringMix, OtherServiceHasNoServersAtHome_ServiceWithRoom_ComesHome) {
+Test(SteeringMix, OtherServiceHasNoServersAtHome_ServiceWithRoom_MovesHome) {
   g_fixture->m_steering.RemoveServer("t-near", g_fixture->m_now);
   g_fixture->RunWithRoomAtHome(seconds(30));
-  cr_assert_gt(g_fixture->HomePart(kRequests), 0.9);
+  cr_assert_gt(g_fixture->HomeFraction(kRequests), 0.9);
 }
 
 // The other service was at home from the start: the first one comes nearer.
-Test(SteeringMix, OtherServiceIsAtHome_ServiceWithRoom_ComesHome) {
+Test(SteeringMix, OtherServiceIsAtHome_ServiceWithRoom_MovesHome) {
   for (int number = 0; number < 5; ++number) {
     g_fixture->m_steering.RemoveServer("t-far-" + std::to_string(number),
                                        g_fixture->m_now);
   }
   g_fixture->Pass(seconds(1));
   g_fixture->RunWithRoomAtHome(seconds(30));
-  cr_assert_gt(g_fixture->HomePart(kRequests), 0.9);
+  cr_assert_gt(g_fixture->HomeFraction(kRequests), 0.9);
 }
 
 // Nothing is asked of the other service any more: it holds nobody back.
-Test(SteeringMix, OtherServiceUnused_ServiceWithRoom_ComesHome) {
+Test(SteeringMix, OtherServiceUnused_ServiceWithRoom_MovesHome) {
   g_fixture->RunWithRoomAtHome(seconds(5));
   for (int step = 0; step < 300; ++step) {
     g_fixture->Report("a", 0);
     g_fixture->RunsAtHome("/read/x", g_fixture->m_next);
     g_fixture->Pass(milliseconds(100));
   }
-  cr_assert_gt(g_fixture->HomePart(kRequests), 0.9);
+  cr_assert_gt(g_fixture->HomeFraction(kRequests), 0.9);
 }
 
 }  // namespace
--- a/tests/steering_overload_test.cc
+++ b/tests/steering_overload_test.cc
@@ -14,16 +14,16 @@
 
 /// Requests on one object, so that one server is the first of all.
 struct OverloadFixture : SteeringFixture {
-  size_t Rests() const {
-    size_t rests = 0;
+  size_t Ejections() const {
+    size_t ejections = 0;
     for (const SteerAction& action : m_actions) {
-      const auto* belief = std::get_if<BeliefChanged>(&action);
-      rests +=
-          belief != nullptr && std::string(belief->m_what) == "server_rests"
+      const auto* change = std::get_if<StateChanged>(&action);
+      ejections +=
+          change != nullptr && std::string(change->m_event) == "server_rests"
               ? 1
               : 0;
     }
-    return rests;
+    return ejections;
   }
 
   /// One request after the other, each answered after 100 ms.
@@ -51,34 +51,35 @@
 // A server's queue is long, and requests reach their deadlines in it. The
 // server answers 504 to each. Taken for failures, two of them sent its objects
 // to a server that was not warm for them, which then fell behind in turn.
-Test(SteeringOverload, ServersOwn504AtTheDeadline_Server_DoesNotRest) {
+Test(SteeringOverload, ServersOwn504AtTheDeadline_Server_IsNotEjected) {
   for (int request = 0; request < 6; ++request) {
     g_fixture->Arrive("/write/x");
-    g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kOutOfTime);
+    g_fixture->End(*g_fixture->Last<SendToServer>(),
+                   AttemptEnd::kDeadlineExceeded);
   }
-  cr_assert_eq(g_fixture->Rests(), 0);
+  cr_assert_eq(g_fixture->Ejections(), 0);
 }
 
-Test(SteeringOverload, OtherErrorsOfAServer_Server_Rests) {
+Test(SteeringOverload, OtherErrorsOfAServer_Server_IsEjected) {
   for (int request = 0; request < 6; ++request) {
     g_fixture->Arrive("/write/x");
     g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kServerError);
   }
-  cr_assert_gt(g_fixture->Rests(), 0);
+  cr_assert_gt(g_fixture->Ejections(), 0);
 }
 
-Test(SteeringOverload, Answer504OfAServer_Judged_IsOutOfTime) {
+Test(SteeringOverload, Response504OfAServer_Classified_IsDeadlineExceeded) {
   ProxyNames names;
   names.m_stamp = "stamp";
   ServerReply reply;
   reply.m_end = ReplyEnd::kWhole;
   reply.m_response.m_status = 504;
   reply.m_response.m_headers = {{"stamp", "s"}};
-  cr_assert_eq(JudgeReply(reply, names).m_end, AttemptEnd::kOutOfTime);
+  cr_assert_eq(JudgeReply(reply, names).m_end, AttemptEnd::kDeadlineExceeded);
 }
 
 // The same where this VM ends the requests at their routes' timeouts.
-Test(SteeringOverload, TimeoutsBehindALongQueue_Server_DoesNotRest) {
+Test(SteeringOverload, TimeoutsBehindALongQueue_Server_IsNotEjected) {
   g_fixture->LearnUsualTime();
   RouteRule route = MakeRoute("/write/", false);
   route.m_timeout = milliseconds(300);
@@ -89,17 +90,17 @@
     }
     g_fixture->Pass(milliseconds(400));
   }
-  cr_assert_eq(g_fixture->Rests(), 0);
+  cr_assert_eq(g_fixture->Ejections(), 0);
 }
 
 // A server that has nothing else to do takes requests and answers none.
-Test(SteeringOverload, TimeoutsAtAnIdleServer_Server_Rests) {
+Test(SteeringOverload, TimeoutsAtAnIdleServer_Server_IsEjected) {
   g_fixture->LearnUsualTime();
   for (int request = 0; request < 3; ++request) {
     g_fixture->Arrive("/write/x");
     g_fixture->Pass(seconds(2) + milliseconds(20));
   }
-  cr_assert_gt(g_fixture->Rests(), 0);
+  cr_assert_gt(g_fixture->Ejections(), 0);
 }
 
 }  // namespace
--- a/tests/steering_restart_test.cc
+++ b/tests/steering_restart_test.cc
@@ -90,7 +90,7 @@
 }
 
 // The old run failed until it was left alone. The new one has failed nothing.
-Test(SteeringRestart, RestingServer_StartsAgain_IsUsedAgain) {
+Test(SteeringRestart, EjectedServer_StartsAgain_IsUsedAgain) {
   const uint64_t object = g_fixture->ObjectOfA();
   for (int failure = 0; failure < 3; ++failure) {
     g_fixture->Arrive("/write/x", object);
@@ -136,7 +136,7 @@
   const uint64_t object = g_fixture->ObjectOfA();
   g_fixture->Pass(seconds(1));
   g_fixture->PutRun(kSecondStart);
-  g_fixture->m_steering.TakeLoads(
+  g_fixture->m_steering.ApplyPeerLoads(
       {{HashName("a"), {20, 20, 2}, milliseconds(200)}}, g_fixture->m_now);
   g_fixture->Arrive("/read/x", object);
   cr_assert_str_eq(g_fixture->Last<SendToServer>()->m_instance.c_str(), "a");
--- a/tests/steering_test.cc
+++ b/tests/steering_test.cc
@@ -29,7 +29,7 @@
 }
 
 // All parts of a split weigh nothing. The request is served all the same.
-Test(Steering, Split_AllWeightsZero_IsDealtEvenly) {
+Test(Steering, Split_AllWeightsZero_IsStillServed) {
   RouteRule route = MakeRoute("/read/", true);
   route.m_shares = {{"s", 0}, {"s", 0}};
   g_fixture->Install(2, {route});
@@ -168,7 +168,7 @@
 // Both servers of the region stall at once, as when every object is met for
 // the first time. Nothing says that they are gone; refusing everything, or
 // moving the whole region elsewhere, would be worse than sending on.
-Test(Steering, AllServersRest_RequestArrives_IsStillSent) {
+Test(Steering, AllServersEjected_RequestArrives_IsStillSent) {
   for (int round = 0; round < 4; ++round) {
     g_fixture->Arrive("/read/x");
     g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kLost);
@@ -237,7 +237,7 @@
                                   {"vm-3", "10.0.0.3:80", "d2", "r1"},
                                   {"vm-4", "10.0.0.4:80", "d2", "r1"}},
                                  g_fixture->m_now);
-  g_fixture->m_steering.SetCutOff(true);
+  g_fixture->m_steering.SetDataStale(true);
   const size_t sent = g_fixture->AnswerForOneSecond("/read/x");
   cr_assert_gt(sent, 0);
   cr_assert_leq(sent, 2);
@@ -258,8 +258,8 @@
 // Far more requests than slots arrive at once. A few wait, so that they are
 // answered within the target; the rest is refused at once, with different
 // times to come back.
-Test(Steering, Overload_AtOnce_RefusesWithSpreadReturns) {
-  std::set<int64_t> returns;
+Test(Steering, Overload_AtOnce_RefusesWithSpreadRetryTimes) {
+  std::set<int64_t> retry_times;
   g_fixture->Arrive("/read/x");
   g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kAnswered);
   for (uint64_t request = 0; request < 40; ++request) {
@@ -268,11 +268,11 @@
   for (const SteerAction& action : g_fixture->m_actions) {
     if (const auto* refusal = std::get_if<RefuseRequest>(&action)) {
       cr_assert_eq(refusal->m_reason, SteerRefusal::kOverloaded);
-      returns.insert(refusal->m_retry_after.count());
+      retry_times.insert(refusal->m_retry_after.count());
     }
   }
   cr_assert_gt(g_fixture->Count<RefuseRequest>(), 20);
-  cr_assert_gt(returns.size(), 5);
+  cr_assert_gt(retry_times.size(), 5);
 }
 
 }  // namespace
--- a/tests/steering_unsent_test.cc
+++ b/tests/steering_unsent_test.cc
@@ -61,7 +61,7 @@
 // A refused connection says that nobody listens there. The server gets nothing
 // for a while after the first one; trying it again with each request would add
 // a round trip to each.
-Test(SteeringUnsent, Server_RefusedOnce_RestsAtOnce) {
+Test(SteeringUnsent, Server_RefusedOnce_IsEjectedAtOnce) {
   g_fixture->Arrive("/read/x", 5);
   const std::string first = g_fixture->Last<SendToServer>()->m_instance;
   g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kNotSent);
--- a/tests/steering_work_test.cc
+++ b/tests/steering_work_test.cc
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "steer/cold_senders.h"
-#include "steer/object_order.h"
-#include "steer/server_track.h"
+#include "steer/cold_server_assignment.h"
+#include "steer/object_ranking.h"
+#include "steer/server_state.h"
 #include "tests/steering_fixture.h"
 
 namespace sorrelplank {
@@ -31,23 +31,23 @@
     m_vm.Pass(seconds(1));
   }
 
-  uint64_t WorkOfTicks() {
-    const uint64_t before = m_vm.m_steering.ServersLookedAt();
+  uint64_t ServersExaminedByTicks() {
+    const uint64_t before = m_vm.m_steering.ServersExamined();
     m_vm.Pass(seconds(1));
-    return m_vm.m_steering.ServersLookedAt() - before;
+    return m_vm.m_steering.ServersExamined() - before;
   }
 
-  void Ask() {
+  void SendRequests() {
     for (uint64_t object = 1; object <= kObjects; ++object) {
       m_vm.Arrive("/read/", object);
     }
   }
 
-  uint64_t WorkOfRequests() {
-    Ask();
-    const uint64_t before = m_vm.m_steering.ServersLookedAt();
-    Ask();
-    return m_vm.m_steering.ServersLookedAt() - before;
+  uint64_t ServersExaminedByRequests() {
+    SendRequests();
+    const uint64_t before = m_vm.m_steering.ServersExamined();
+    SendRequests();
+    return m_vm.m_steering.ServersExamined() - before;
   }
 };
 
@@ -75,31 +75,31 @@
 TestSuite(SteeringWork);
 
 // Guards against ticks that look at every server of a large fleet.
-Test(SteeringWork, Ticks_ServersGrowFourfold_LookAtNoMore) {
-  const uint64_t few = WorkFixture(kFewServers).WorkOfTicks();
-  cr_expect_eq(WorkFixture(2 * kFewServers).WorkOfTicks(), few);
-  cr_expect_eq(WorkFixture(4 * kFewServers).WorkOfTicks(), few);
+Test(SteeringWork, Ticks_ServersGrowFourfold_ExamineNoMore) {
+  const uint64_t few = WorkFixture(kFewServers).ServersExaminedByTicks();
+  cr_expect_eq(WorkFixture(2 * kFewServers).ServersExaminedByTicks(), few);
+  cr_expect_eq(WorkFixture(4 * kFewServers).ServersExaminedByTicks(), few);
 }
 
 // Guards against ranking every server of a region for each request.
-Test(SteeringWork, RequestsOfKnownObjects_ServersGrowFourfold_LookAtNoMore) {
-  const uint64_t few = WorkFixture(kFewServers).WorkOfRequests();
-  cr_expect_leq(few, kObjects * ObjectOrder::kKept);
-  cr_expect_leq(WorkFixture(2 * kFewServers).WorkOfRequests(), few);
-  cr_expect_leq(WorkFixture(4 * kFewServers).WorkOfRequests(), few);
+Test(SteeringWork, RequestsOfKnownObjects_ServersGrowFourfold_ExamineNoMore) {
+  const uint64_t few = WorkFixture(kFewServers).ServersExaminedByRequests();
+  cr_expect_leq(few, kObjects * ObjectRanking::kMaxRankedServers);
+  cr_expect_leq(WorkFixture(2 * kFewServers).ServersExaminedByRequests(), few);
+  cr_expect_leq(WorkFixture(4 * kFewServers).ServersExaminedByRequests(), few);
 }
 
 // Guards against an order that differs from a fresh ranking after servers came
 // and went: two VMs would then send an object to different servers.
-Test(SteeringWork, ObjectOrder_ServersComeAndGo_IsThatOfAFreshRanking) {
+Test(SteeringWork, ObjectRanking_ServersComeAndGo_EqualsAFreshRanking) {
   std::mt19937 random(7);
-  ObjectOrder kept;
-  std::vector<std::unique_ptr<ServerTrack>> tracks;
-  std::vector<ServerTrack*> all;
+  ObjectRanking kept;
+  std::vector<std::unique_ptr<ServerState>> tracks;
+  std::vector<ServerState*> all;
   for (int step = 0; step < 2000; ++step) {
     const bool adds = all.empty() || random() % 100 < 52;
     if (adds) {
-      tracks.push_back(std::make_unique<ServerTrack>(
+      tracks.push_back(std::make_unique<ServerState>(
           MakeEntry("i-" + std::to_string(step), "d1"), 0, TimePoint{}));
       all.push_back(tracks.back().get());
       kept.Add(all.back());
@@ -110,8 +110,8 @@
       all.erase(gone);
     }
     const uint64_t object = random() % 5;
-    const auto order = kept.FirstOf(object, all);
-    const auto fresh = ObjectOrder().FirstOf(object, all);
+    const auto order = kept.TopServers(object, all);
+    const auto fresh = ObjectRanking().TopServers(object, all);
     cr_assert_geq(order.size(), std::min<size_t>(4, all.size()));
     cr_assert_leq(order.size(), fresh.size());
     cr_assert(std::equal(order.begin(), order.end(), fresh.begin()),
@@ -123,21 +123,21 @@
 // against doing so anew when a VM far away restarts.
 Test(SteeringWork, ColdServers_FleetGrows_OnlyTheirDomainIsWeighed) {
   for (const size_t domains : {3U, 6U, 12U}) {
-    ColdSenders senders(MakeRegions(domains), "vm-0");
+    ColdServerAssignment senders(MakeRegions(domains), "vm-0");
     auto fleet = MakeFleet(10 * domains, domains);
     senders.SetFleet(fleet);
     const auto ask = [&] {
       for (int number = 0; number < 120; ++number) {
-        senders.IsOwn(MakeEntry("i-" + std::to_string(number),
-                                "d" + std::to_string(number % 3)));
+        senders.IsAssignedHere(MakeEntry("i-" + std::to_string(number),
+                                         "d" + std::to_string(number % 3)));
       }
     };
     ask();
-    cr_expect_eq(senders.Weighed(), 40U * 10, "%zu domains", domains);
+    cr_expect_eq(senders.WeightsComputed(), 40U * 10, "%zu domains", domains);
     fleet.erase(fleet.begin() + 1);
     senders.SetFleet(fleet);
     ask();
-    cr_expect_eq(senders.Weighed(), 40U * 10, "%zu domains", domains);
+    cr_expect_eq(senders.WeightsComputed(), 40U * 10, "%zu domains", domains);
   }
 }
 
@@ -149,9 +149,9 @@
   for (const std::string domain : {"d1", "empty"}) {
     size_t senders = 0;
     for (const FleetMember& member : fleet) {
-      ColdSenders one(regions, member.m_vm);
+      ColdServerAssignment one(regions, member.m_vm);
       one.SetFleet(fleet);
-      senders += one.IsOwn(MakeEntry("i-7", domain)) ? 1 : 0;
+      senders += one.IsAssignedHere(MakeEntry("i-7", domain)) ? 1 : 0;
     }
     cr_expect_eq(senders, 1U, "%s", domain.c_str());
   }
--- a/trial/limit_world.cc
+++ b/trial/limit_world.cc
@@ -247,7 +247,7 @@
                             .m_retry_window = seconds(10),
                             .m_cold_factor = 1.5,
                             .m_cold_slack = 5,
-                            .m_most_shift = 0.15};
+                            .m_max_shift = 0.15};
   for (size_t place = 0; place < 2 * kRegions; ++place) {
     settings.m_regions[DomainOf(place)] = RegionOf(place);
   }
@@ -458,7 +458,7 @@
   if (const auto* ask = std::get_if<QuotaAsk>(&message)) {
     Carry(to, from, steering.AnswerQuotaAsk(*ask, m_queue.Now()));
   } else {
-    steering.TakeQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
+    steering.ApplyQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
   }
 }
 
--- a/trial/quota_world.cc
+++ b/trial/quota_world.cc
@@ -371,7 +371,7 @@
   if (const auto* ask = std::get_if<QuotaAsk>(&message)) {
     Carry(to, from, steering.AnswerQuotaAsk(*ask, m_queue.Now()));
   } else {
-    steering.TakeQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
+    steering.ApplyQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
   }
 }
 
