--- a/src/steer/admission.cc
+++ b/src/steer/admission.cc
@@ -1,4 +1,4 @@
-/// @file admission.cc Estimates of waiting.
+/// @file admission.cc Estimates of queueing time.
 
 #include "steer/admission.h"
 
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// Taken for the rate where nothing has ended yet, in ends a second.
+/// Lower bound of the completion rate; assumed before the first completion.
 constexpr double kMinCompletionsPerSecond = 2;
-/// Part of the time until the target that may be spent waiting where the usual
-/// latency alone misses the target; the answer is late anyway, a long wait
-/// would only take the place of requests that can be met.
+/// Fraction of the time to the target that may be spent queueing if the usual
+/// latency alone exceeds the target. The response is late anyway, and a longer
+/// wait would displace requests that can still meet their target.
 constexpr double kLateWaitFraction = 0.5;
-/// Nobody is asked to come back sooner than a slot usually comes free.
+/// Shortest retry time: about the time until a slot becomes free.
 constexpr Duration kMinRetryAfter = milliseconds(150);
-/// Or later than overload of this kind lasts.
+/// Longest retry time: about as long as such an overload lasts.
 constexpr Duration kMaxRetryAfter = milliseconds(1500);
 
 }  // namespace
@@ -41,13 +41,13 @@
 }
 
 Duration Jitter(Duration time, uint64_t seed) {
-  // 0.75 to 1.25 of the time, in steps of a 64th.
+  // Factor 0.75 to 1.25 in steps of 1/64.
   const double factor = 0.75 + static_cast<double>(seed % 33) / 64;
   return std::chrono::duration_cast<Duration>(time * factor);
 }
 
 Duration PositiveJitter(Duration time, uint64_t seed) {
-  // 1 to 1.25 of the time, in steps of a 128th.
+  // Factor 1 to 1.25 in steps of 1/128.
   const double factor = 1 + static_cast<double>(seed % 33) / 128;
   return std::chrono::duration_cast<Duration>(time * factor);
 }
--- a/src/steer/admission.h
+++ b/src/steer/admission.h
@@ -1,4 +1,4 @@
-/// @file admission.h Whether a request that finds no free slot may wait.
+/// @file admission.h Admission of requests to a backend server's wait queue.
 
 #ifndef SORRELPLANK_STEER_ADMISSION_H_
 #define SORRELPLANK_STEER_ADMISSION_H_
@@ -10,43 +10,45 @@
 
 namespace sorrelplank {
 
-/// The queue of this entry VM's requests that wait for one backend server.
+/// This entry VM's queue of requests for one backend server.
 struct QueueState {
-  /// Requests that would be served before the new one.
+  /// Number of requests that would be served before the new one.
   size_t m_ahead = 0;
-  /// Ends a second at the server that this VM may expect to use.
+  /// Completions per second at the server whose slots this VM can expect to
+  /// get.
   double m_completions_per_second = 0;
-  /// Usual time of one request at a backend server.
+  /// Median latency of one request at a backend server.
   Duration m_usual_latency{};
 };
 
-/// What a request needs of its wait.
+/// Time that a request has left.
 struct WaitBudget {
-  /// Time until an answer stops being worth most; may be negative.
+  /// Until the route's target latency is exceeded; may be negative.
   Duration m_time_to_target{};
-  /// Time until the request ends unanswered.
+  /// Until the request is ended without a response.
   Duration m_time_to_deadline{};
 };
 
-/// How long a new request would wait.
+/// Expected queueing time of a new request.
 Duration ExpectedWait(const QueueState& queue);
 
-/// Whether it may wait.
+/// Whether a request may be queued.
 ///
-/// Load pattern: more requests than slots for seconds. Letting all of them wait
-/// makes every answer late; so those that would miss the target are turned away
-/// at once, while they still have time to come back.
+/// Load pattern: more requests than slots for several seconds. Queueing all of
+/// them would make every response late, so requests that would miss their
+/// target latency are refused at once, while the client still has time to
+/// retry.
 bool MayWait(const QueueState& queue, const WaitBudget& budget);
 
-/// When a refused request may come back: once the queue has emptied, seed by
-/// the request's own number, so that those refused together do not return
-/// together.
+/// Time after which a client may retry a refused request: when the queue has
+/// drained, with jitter by the seed (the request's number) so that requests
+/// refused together are not retried together.
 Duration RetryAfter(const QueueState& queue, uint64_t seed);
 
-/// The time made longer or shorter by up to a quarter, by the request's own
-/// number.
+/// The time with up to 25 % added or subtracted, chosen by the seed (the
+/// request's number).
 Duration Jitter(Duration time, uint64_t seed);
-/// The time made longer by up to a quarter, by the request's own number.
+/// The time with up to 25 % added, chosen by the seed (the request's number).
 Duration PositiveJitter(Duration time, uint64_t seed);
 
 }  // namespace sorrelplank
--- a/src/steer/attempt_report_type.h
+++ b/src/steer/attempt_report_type.h
@@ -1,4 +1,4 @@
-/// @file attempt_report_type.h How one send to a backend server ended.
+/// @file attempt_report_type.h Outcome of one attempt at a backend server.
 
 #ifndef SORRELPLANK_STEER_ATTEMPT_REPORT_TYPE_H_
 #define SORRELPLANK_STEER_ATTEMPT_REPORT_TYPE_H_
@@ -11,45 +11,47 @@
 
 namespace sorrelplank {
 
-/// The kinds of end. They decide what a client may be told.
+/// How an attempt ended; decides which outcome the client may be told.
 enum class AttemptEnd : uint8_t {
-  kAnswered,          ///< A whole answer of the server's own.
-  kServerError,       ///< A whole answer of the server's own with a 5xx status.
-  kDeadlineExceeded,  ///< The same, since the time that it was given ran out.
-  kRejected,          ///< The server says that it did not run the request.
-  kWrongInstance,     ///< Another server has the address; it did not run it.
-  kNotSent,           ///< Not one byte left this process.
-  kLost,              ///< Sent, and no whole answer came; it may have run.
+  kAnswered,     ///< A complete response from the server itself.
+  kServerError,  ///< A complete response from the server itself, status 5xx.
+  /// A complete response from the server itself: the time given to the request
+  /// ran out there (status 504).
+  kDeadlineExceeded,
+  kRejected,       ///< The server reports that it did not run the request.
+  kWrongInstance,  ///< Another server has the address; it did not run it.
+  kNotSent,        ///< No byte of the request left this process.
+  kLost,  ///< Sent without a complete response; the request may have run.
 };
 
-/// Whether the end proves that the request did not run.
+/// Whether the outcome proves that the request did not run.
 inline bool ProvesNotRun(AttemptEnd end) {
   return end == AttemptEnd::kRejected || end == AttemptEnd::kWrongInstance ||
          end == AttemptEnd::kNotSent;
 }
 
-/// The name in logs and metrics.
+/// Name in logs and metrics.
 const char* AttemptEndName(AttemptEnd end);
 
-/// A server's word on its own load.
+/// Load that a server reports about itself.
 struct ReportedLoad {
   uint32_t m_running = 0;
   uint32_t m_waiting = 0;
   uint32_t m_slots = 0;
-  /// How long work takes on the server's machine at that moment, in percent of
-  /// the usual; absent where the server does not tell.
+  /// Current processing time on the server's machine in percent of the usual
+  /// time; absent if the server does not report it.
   std::optional<uint32_t> m_work_percent{};
 };
 
-/// End of a send with what was learned from it.
+/// Outcome of an attempt and the information that came with it.
 struct AttemptReport {
   AttemptEnd m_end = AttemptEnd::kLost;
   std::optional<ReportedLoad> m_load;
-  /// Absent where no answer of the server itself came.
+  /// Absent if the server itself sent no response.
   std::optional<ServerNotice> m_notice;
-  /// It is known that the server's run ended before the send did.
+  /// The server's run is known to have ended before the attempt did.
   bool m_server_ended = false;
-  /// From the first byte sent to the last one received.
+  /// Time from the first byte sent to the last byte received.
   Duration m_latency{};
 };
 
--- a/src/steer/cold_server_assignment.cc
+++ b/src/steer/cold_server_assignment.cc
@@ -1,4 +1,5 @@
-/// @file cold_server_assignment.cc Groups of VMs, and answers that are kept.
+/// @file cold_server_assignment.cc Rendezvous hashing over groups of VMs, with
+/// a cache.
 
 #include "steer/cold_server_assignment.h"
 
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// Answers that are kept; beyond it they are found anew.
+/// Cache size; a full cache is cleared and filled again on demand.
 constexpr size_t kMaxCachedAssignments = 16384;
 
 uint64_t Weight(uint64_t seed, const std::string& name) {
--- a/src/steer/cold_server_assignment.h
+++ b/src/steer/cold_server_assignment.h
@@ -1,4 +1,4 @@
-/// @file cold_server_assignment.h Which entry VM sends to a cold server.
+/// @file cold_server_assignment.h Assigns each cold server to one entry VM.
 
 #ifndef SORRELPLANK_STEER_COLD_SERVER_ASSIGNMENT_H_
 #define SORRELPLANK_STEER_COLD_SERVER_ASSIGNMENT_H_
@@ -15,29 +15,32 @@
 
 struct ServerEntry;
 
-/// Each cold server gets its requests from one entry VM: of its failure domain,
-/// else of its region, else of all, by highest random weight. VMs with the same
-/// view of the fleet agree without a message.
+/// Each cold (recently started) server gets its requests from a single entry
+/// VM, chosen by rendezvous hashing (highest random weight) among the VMs of
+/// the server's failure domain. If that has none, the VMs of the region are
+/// used, and then the whole fleet. VMs with the same view of the fleet agree
+/// without exchanging messages.
 ///
-/// Load pattern: thousands of servers that are replaced, in a fleet of hundreds
-/// of VMs that change meanwhile. An answer is kept until a VM of those it was
-/// found among joins or leaves.
+/// Load pattern: thousands of servers are replaced while a fleet of hundreds of
+/// VMs changes. A result is therefore cached until a VM joins or leaves the
+/// group that it was chosen from.
 class ColdServerAssignment {
  public:
-  /// The regions of failure domains, and this VM.
+  /// `regions` maps failure domains to regions.
   ColdServerAssignment(std::map<std::string, std::string> regions,
                        std::string own_vm);
 
   void SetFleet(const std::vector<FleetMember>& fleet);
   bool IsAssignedHere(const ServerEntry& server);
-  /// VMs that were weighed for a server so far.
+  /// Number of weights computed so far.
   uint64_t WeightsComputed() const { return m_weights_computed; }
 
  private:
-  /// VMs by name, in the fleet's order.
+  /// VMs that a server's sender is chosen from.
   struct Group {
+    /// Names, in the fleet's order.
     std::vector<std::string> m_vms;
-    /// Changes with the VMs.
+    /// Changes whenever m_vms does.
     uint64_t m_generation = 0;
   };
   struct CachedAssignment {
@@ -46,7 +49,7 @@
     bool m_is_assigned_here;
   };
 
-  /// Among whose VMs the sender of a domain's servers is found.
+  /// The group that senders for the domain's servers are chosen from.
   const Group& GroupOf(const std::string& failure_domain) const;
   bool ComputeIsAssignedHere(const ServerEntry& server, const Group& group);
   void Replace(Group& group, std::vector<std::string> vms);
--- a/src/steer/decaying_mean.h
+++ b/src/steer/decaying_mean.h
@@ -1,4 +1,4 @@
-/// @file decaying_mean.h A moving mean that is forgotten when samples stop.
+/// @file decaying_mean.h A moving average that decays when samples stop.
 
 #ifndef SORRELPLANK_STEER_DECAYING_MEAN_H_
 #define SORRELPLANK_STEER_DECAYING_MEAN_H_
@@ -9,9 +9,9 @@
 
 namespace sorrelplank {
 
-/// Mean over the last samples, for decisions that stop the samples themselves:
-/// a mean that stayed would keep a server that seemed full from ever being
-/// tried again.
+/// Exponentially weighted moving average that decays to zero without samples.
+/// For decisions that themselves stop the samples: with a constant value, a
+/// server that seemed full would never be tried again.
 class DecayingMean {
  public:
   void Add(double sample, TimePoint now) {
@@ -20,7 +20,7 @@
     m_sampled = now;
   }
 
-  /// Zero before the first sample and long after the last one.
+  /// Zero before the first sample, and once the last one has decayed.
   double Get(TimePoint now) const {
     const Duration age = now - m_sampled - kHoldTime;
     if (age <= Duration::zero()) {
@@ -31,12 +31,12 @@
   }
 
  private:
-  /// Weight of the newest sample; some ten samples to follow a change.
+  /// Weight of the newest sample; follows a change within about ten samples.
   static constexpr double kSampleWeight = 0.1;
-  /// Kept whole for this long after a sample: a VM that sends eighteen requests
-  /// a second to a service has a sample every 60 ms.
+  /// Time after a sample before the decay begins. A VM that sends eighteen
+  /// requests a second to a service has a sample every 60 ms.
   static constexpr Duration kHoldTime = milliseconds(200);
-  /// Then gone within this time.
+  /// Duration of the linear decay to zero.
   static constexpr Duration kDecayTime = milliseconds(800);
 
   double m_value = 0;
--- a/src/steer/fleet_member_type.h
+++ b/src/steer/fleet_member_type.h
@@ -1,4 +1,4 @@
-/// @file fleet_member_type.h An entry VM as its own store entry describes it.
+/// @file fleet_member_type.h An entry VM as described by its store entry.
 
 #ifndef SORRELPLANK_STEER_FLEET_MEMBER_TYPE_H_
 #define SORRELPLANK_STEER_FLEET_MEMBER_TYPE_H_
@@ -9,10 +9,9 @@
 
 namespace sorrelplank {
 
-/// One entry VM.
 struct FleetMember {
   std::string m_vm;
-  /// Where clients connect, "IP:PORT".
+  /// Address for client connections, "IP:PORT".
   std::string m_client_address;
   std::string m_failure_domain;
   std::string m_region;
--- a/src/steer/object_ranking.cc
+++ b/src/steer/object_ranking.cc
@@ -1,4 +1,5 @@
-/// @file object_ranking.cc Ranking once, then insertion and removal.
+/// @file object_ranking.cc Initial ranking, then incremental insertion and
+/// removal.
 
 #include "steer/object_ranking.h"
 
@@ -13,10 +14,10 @@
 
 namespace {
 
-/// Objects that are kept, at 150 bytes each. Beyond it the order is forgotten
-/// and found again as objects are asked for.
+/// Objects with a cached ranking, at 150 bytes each. Beyond it all rankings are
+/// cleared and computed again on demand.
 constexpr size_t kMaxObjects = 4096;
-/// With fewer left after removals, the order is found anew.
+/// A ranking that removals leave with fewer servers is computed again.
 constexpr size_t kMinRankedServers = ObjectRanking::kMaxRankedServers / 2;
 
 }  // namespace
@@ -30,7 +31,8 @@
   for (auto& [object, ranking] : m_rankings) {
     const RankedServer ranked{ObjectWeight(object, instance), server};
     ++m_weights_computed;
-    // Behind the last of a part there are servers that were left out.
+    // A truncated ranking lacks the servers below its last one, so a server
+    // below that must not be appended.
     const bool is_truncated = ranking.size() < m_servers;
     if (is_truncated && ranked.m_weight < ranking.back().m_weight) {
       continue;
--- a/src/steer/object_ranking.h
+++ b/src/steer/object_ranking.h
@@ -1,4 +1,4 @@
-/// @file object_ranking.h The order in which objects prefer servers.
+/// @file object_ranking.h Ranks servers for each object by rendezvous hashing.
 
 #ifndef SORRELPLANK_STEER_OBJECT_RANKING_H_
 #define SORRELPLANK_STEER_OBJECT_RANKING_H_
@@ -13,29 +13,28 @@
 
 class ServerState;
 
-/// Weight of a server for an object; the largest is the first choice.
+/// Hash weight of a server for an object; the largest weight ranks first.
 uint64_t ObjectWeight(uint64_t object, const std::string& instance);
 
-/// Keeps the first servers of the objects that are asked for, by highest random
-/// weight, while servers come and go.
+/// Caches the top-ranked servers of each requested object (rendezvous hashing,
+/// highest random weight) and updates them as servers are added and removed.
 ///
-/// Load pattern: a region with thousands of servers. Ranked anew for each
-/// request, they cost work that grows with the fleet.
+/// Load pattern: a region with thousands of servers. Ranking them for every
+/// request would cost work that grows with the fleet.
 class ObjectRanking {
  public:
-  /// Servers kept for one object. A request has two to choose from; the others
-  /// stand in where some of them rest, leave or are cold.
+  /// Servers cached for one object. A request chooses between two; the others
+  /// replace those that are ejected, leaving or cold.
   static constexpr size_t kMaxRankedServers = 8;
 
   void Add(ServerState* server);
   void Remove(const ServerState* server);
 
-  /// The first servers of an object, at most kMaxRankedServers of all that are
-  /// given.
+  /// The object's top-ranked servers out of `all`, at most kMaxRankedServers.
   std::vector<ServerState*> TopServers(uint64_t object,
                                        const std::vector<ServerState*>& all);
 
-  /// Servers whose weight was computed so far.
+  /// Number of weights computed so far.
   uint64_t WeightsComputed() const { return m_weights_computed; }
 
  private:
@@ -48,7 +47,7 @@
   Ranking RankAll(uint64_t object, const std::vector<ServerState*>& all);
 
   std::unordered_map<uint64_t, Ranking> m_rankings;
-  /// Servers that were added and not removed.
+  /// Number of servers added and not removed.
   size_t m_servers = 0;
   uint64_t m_weights_computed = 0;
 };
--- a/src/steer/peer_load_estimate.cc
+++ b/src/steer/peer_load_estimate.cc
@@ -1,4 +1,4 @@
-/// @file peer_load_estimate.cc Emptying of a queue between reports.
+/// @file peer_load_estimate.cc Draining of a server's queue between reports.
 
 #include "steer/peer_load_estimate.h"
 
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Least time that a slot is taken for a request, in milliseconds; also before
-/// the first answer. Shorter than any deployment's usual work, so that a server
-/// of which nothing is known seems free again soon.
+/// Lower bound of the time that a request occupies a slot; assumed before the
+/// first response. Shorter than any deployment's usual processing time, so that
+/// a server of which nothing is known soon counts as free again.
 constexpr double kMinWorkMs = 30;
-/// How much faster than its slots allow a queue is taken to empty. A slot that
-/// idles because a queue is thought to be longer than it is costs more than a
-/// request too many in the queue. Worth of the answers to their callers, of the
-/// most possible, over five days with six seeds each: 0.570 with 1.5, 0.581
-/// with 2.5, 0.573 with 4.
+/// Factor by which a queue is assumed to drain faster than the server's slots
+/// allow. A slot left idle because the queue is overestimated costs more than
+/// one request too many in the queue. Value of the responses to their callers,
+/// relative to the maximum, over five days with six seeds each: 0.570 with 1.5,
+/// 0.581 with 2.5, 0.573 with 4.
 constexpr double kDrainSpeedup = 2.5;
 
 }  // namespace
--- a/src/steer/peer_load_estimate.h
+++ b/src/steer/peer_load_estimate.h
@@ -1,4 +1,5 @@
-/// @file peer_load_estimate.h What other entry VMs have under way at a server.
+/// @file peer_load_estimate.h Estimates the requests of other entry VMs at a
+/// backend server.
 
 #ifndef SORRELPLANK_STEER_PEER_LOAD_ESTIMATE_H_
 #define SORRELPLANK_STEER_PEER_LOAD_ESTIMATE_H_
@@ -12,30 +13,32 @@
 
 struct AttemptReport;
 
-/// Estimates between a server's reports how many requests of peer_requests it
-/// has.
+/// Estimates how many requests of other entry VMs a server has between its load
+/// reports.
 ///
-/// Load pattern: overload, and several VMs that send to the same server. Its
-/// queue holds a multiple of its slots, and no VM knows more than its own part.
-/// Reports that faded within a fixed 250 ms made a VM believe 1.7 requests
-/// under way where there were 7; all of them then waited in the server's queue,
-/// past their targets. A queue empties at the server's own pace, so the
-/// estimate does: by its slots and by the time that it takes for a request.
+/// Load pattern: overload, with several VMs sending to the same server. Its
+/// queue holds a multiple of its slots, and each VM knows only its own
+/// requests. Letting reports decay within a fixed 250 ms made a VM assume 1.7
+/// requests in flight where there were 7; all of these then waited in the
+/// server's queue, past their target latencies. A queue drains at the server's
+/// own rate, so the estimate does too: by its slots and its processing time per
+/// request.
 class PeerLoadEstimate {
  public:
-  /// A server reported so many requests that are not ours.
+  /// Sets the number of other VMs' requests that the server reported.
   void SetReported(double peer_requests, TimePoint as_of);
 
-  /// An answer of the server, which has so many slots.
+  /// Learns the processing time from a response of the server.
   void AddAnswer(const AttemptReport& report, uint32_t slots);
 
-  /// How many there are, with own ones under way beside them.
+  /// Estimated number of other VMs' requests; `own` is the number of this VM's
+  /// requests in flight there.
   double At(TimePoint now, double own, uint32_t slots) const;
 
  private:
   double m_peer_requests = 0;
   TimePoint m_as_of{};
-  /// Median time for which a request takes a slot.
+  /// Median time for which a request occupies a slot.
   QuantileEstimator m_work{0.5};
 };
 
--- a/src/steer/quantile_estimator.h
+++ b/src/steer/quantile_estimator.h
@@ -1,4 +1,4 @@
-/// @file quantile_estimator.h Follows a quantile of a stream of times.
+/// @file quantile_estimator.h Estimates a quantile of a stream of durations.
 
 #ifndef SORRELPLANK_STEER_QUANTILE_ESTIMATOR_H_
 #define SORRELPLANK_STEER_QUANTILE_ESTIMATOR_H_
@@ -7,9 +7,9 @@
 
 namespace sorrelplank {
 
-/// Steps up or down by a small part with each sample, so that the quantile's
-/// part of the samples is below. A mean would follow the few requests that find
-/// a server not warm for their object, which take 3.3 times as long.
+/// Moves up or down by a small step with each sample, so that it converges to
+/// the quantile. A mean would be skewed by the few requests whose object the
+/// server does not have cached, which take 3.3 times as long.
 class QuantileEstimator {
  public:
   explicit QuantileEstimator(double quantile) : m_quantile(quantile) {}
@@ -28,7 +28,8 @@
   Duration Get() const { return m_value; }
 
  private:
-  /// Part of the value: a change to a third is followed in some 20 samples.
+  /// Fraction of the value. A drop to a third is followed within about 20
+  /// samples.
   static constexpr double kMaxStepFraction = 0.12;
 
   double m_quantile;
--- a/src/steer/region_servers.cc
+++ b/src/steer/region_servers.cc
@@ -1,5 +1,4 @@
-/// @file region_servers.cc Sums over a region, less what is out of the
-/// ordinary.
+/// @file region_servers.cc Sums over a region's servers.
 
 #include "steer/region_servers.h"
 
@@ -13,7 +12,7 @@
 
 namespace {
 
-/// Whether nothing of the server's own keeps requests away.
+/// Whether the server's own status does not restrict sending requests to it.
 bool IsUnrestricted(const ServerState& server, TimePoint now) {
   return !server.Entry().m_leaving && !server.Notices().IsLeaving() &&
          !server.IsGone() && !server.Notices().IsPaused(now) &&
--- a/src/steer/region_servers.h
+++ b/src/steer/region_servers.h
@@ -21,27 +21,28 @@
 struct ServerEntry;
 struct ServiceRules;
 
-/// Sums of slots and loads that are kept up to date as servers change, so that
-/// measuring the region looks at servers out of the ordinary only.
+/// Maintains sums of slots and loads as servers change, so that measuring the
+/// region only examines the few servers with a special status or a recent
+/// report.
 ///
-/// Load pattern: ten thousand servers, of which a VM hears from some dozens a
-/// second. Looked at ten times a second, all of them would cost work that grows
-/// with the fleet.
+/// Load pattern: ten thousand servers, of which a VM receives responses from a
+/// few dozen per second. Examining all of them ten times a second would cost
+/// work that grows with the fleet.
 class RegionServers {
  public:
   void Add(ServerState* server);
   void Remove(ServerState* server);
-  /// A newer entry of the same run of a server.
+  /// Applies a newer entry of the same run of a server.
   void Update(ServerState* server, ServerEntry entry, TimePoint now);
 
-  /// To be called whenever a server may have turned cold, paused, leaving or
-  /// gone; what it returned to by itself is found out.
+  /// To be called whenever a server may have become cold, paused, leaving or
+  /// gone. The return to normal is detected without a call.
   void NoteStatusChange(ServerState* server);
-  /// To be called when a server's own report of its load came.
+  /// To be called when a load report of the server arrives.
   void NoteLoadReport(ServerState* server) { m_reported.insert(server); }
 
   const std::vector<ServerState*>& All() const { return m_all; }
-  /// The servers that an object prefers, in their order; not all of them.
+  /// The object's top-ranked servers, in order; not all servers.
   std::vector<ServerState*> TopServers(uint64_t object) {
     return m_object_ranking.TopServers(object, m_all);
   }
@@ -51,13 +52,13 @@
                      TimePoint now);
 
   void CountExamined(size_t servers) { m_examined += servers; }
-  /// Servers that were looked at so far, to measure and to rank.
+  /// Number of servers examined so far for measuring and ranking.
   uint64_t Examined() const {
     return m_examined + m_object_ranking.WeightsComputed();
   }
 
  private:
-  /// By instance: sums come out the same in every run.
+  /// Orders by instance, so that floating-point sums are the same in every run.
   struct ByInstance {
     bool operator()(const ServerState* a, const ServerState* b) const;
   };
@@ -65,11 +66,11 @@
 
   std::vector<ServerState*> m_all;
   ObjectRanking m_object_ranking;
-  /// Slots of all servers, by failure domain.
+  /// Total slots by failure domain.
   std::map<std::string, uint64_t> m_slots;
   /// Servers that may be cold, paused, leaving or gone.
   Servers m_restricted;
-  /// Servers that may have told their load lately.
+  /// Servers that may have reported their load recently.
   Servers m_reported;
   uint64_t m_examined = 0;
 };
--- a/src/steer/server_change_type.h
+++ b/src/steer/server_change_type.h
@@ -1,4 +1,4 @@
-/// @file server_change_type.h What an entry of service discovery changed.
+/// @file server_change_type.h Effect of a service discovery entry.
 
 #ifndef SORRELPLANK_STEER_SERVER_CHANGE_TYPE_H_
 #define SORRELPLANK_STEER_SERVER_CHANGE_TYPE_H_
@@ -7,13 +7,13 @@
 
 namespace sorrelplank {
 
-/// Outcome of taking an entry of a backend server.
+/// Effect of applying a backend server's entry.
 enum class ServerChange : uint8_t {
   kAdded,
-  kUpdated,        ///< The run that was known, with other fields.
-  kRestarted,      ///< Another run under the id that was known.
-  kOlderRun,       ///< Of a run before the known one; ignored.
-  kUnknownDomain,  ///< In a failure domain that is not configured; not used.
+  kUpdated,        ///< Another entry of the known run.
+  kRestarted,      ///< A new run under a known id.
+  kOlderRun,       ///< From a run before the known one; ignored.
+  kUnknownDomain,  ///< The failure domain is not configured; not used.
 };
 
 }  // namespace sorrelplank
--- a/src/steer/server_entry.cc
+++ b/src/steer/server_entry.cc
@@ -1,4 +1,4 @@
-/// @file server_entry.cc Names of runs.
+/// @file server_entry.cc Names of backend server runs.
 
 #include "steer/server_entry_type.h"
 
--- a/src/steer/server_entry_type.h
+++ b/src/steer/server_entry_type.h
@@ -1,4 +1,4 @@
-/// @file server_entry_type.h A backend server as service discovery lists it.
+/// @file server_entry_type.h A backend server's service discovery entry.
 
 #ifndef SORRELPLANK_STEER_SERVER_ENTRY_TYPE_H_
 #define SORRELPLANK_STEER_SERVER_ENTRY_TYPE_H_
@@ -12,8 +12,8 @@
 
 namespace sorrelplank {
 
-/// One run of a backend server. A restart is another run, under another id or
-/// under the same one with a later start.
+/// One run (process lifetime) of a backend server. A restart is a new run,
+/// under another id or under the same id with a later start time.
 struct ServerEntry {
   std::string m_instance;
   std::string m_service;
@@ -21,23 +21,24 @@
   std::string m_failure_domain;
   uint32_t m_slots = 1;
   bool m_leaving = false;
-  /// How much longer it stays cold, as of the writing of the entry.
+  /// Remaining time for which the server is cold, when the entry was written.
   Duration m_cold_left{};
-  /// Unix time of the run's start; absent where the server does not tell it.
+  /// Unix time of the run's start; absent if the server does not publish it.
   std::optional<milliseconds> m_started;
 };
 
-/// Names the run among all runs of all servers.
+/// Name of the run, unique among all runs of all servers.
 std::string RunName(const ServerEntry& entry);
 
-/// Whether both tell their start, and the first run's came before the second's.
+/// Whether both start times are known and the first one is earlier.
 inline bool StartedBefore(const ServerEntry& first, const ServerEntry& second) {
   return first.m_started && second.m_started &&
          *first.m_started < *second.m_started;
 }
 
-/// Whether both entries may be of one run. A run keeps its service and address;
-/// starts are compared where both tell them.
+/// Whether both entries may belong to one run. Service, address and failure
+/// domain are constant within a run; start times are compared if both are
+/// known.
 inline bool IsSameRun(const ServerEntry& one, const ServerEntry& other) {
   const bool may_have_same_start =
       !one.m_started || !other.m_started || *one.m_started == *other.m_started;
--- a/src/steer/server_load_type.h
+++ b/src/steer/server_load_type.h
@@ -1,4 +1,4 @@
-/// @file server_load_type.h A server's load as one entry VM tells others.
+/// @file server_load_type.h A server's load report as shared by entry VMs.
 
 #ifndef SORRELPLANK_STEER_SERVER_LOAD_TYPE_H_
 #define SORRELPLANK_STEER_SERVER_LOAD_TYPE_H_
@@ -9,11 +9,12 @@
 
 namespace sorrelplank {
 
-/// The last report of a server, and how old it is.
+/// A server's last load report.
 struct ServerLoad {
-  /// Of the server's instance.
+  /// Hash of the server's instance name.
   NameHash m_server;
   ReportedLoad m_load;
+  /// Time since the report was received.
   Duration m_age{};
 };
 
--- a/src/steer/server_picker.cc
+++ b/src/steer/server_picker.cc
@@ -1,4 +1,5 @@
-/// @file server_picker.cc Placement by object, cold servers.
+/// @file server_picker.cc Server selection by object, and limits for cold
+/// servers.
 
 #include "steer/server_picker.h"
 
@@ -16,18 +17,20 @@
 
 namespace {
 
-/// Two entry VMs may take themselves for the sender while their views of the
-/// fleet differ; so each stays under half of the bound.
+/// While views of the fleet differ, two entry VMs may both consider themselves
+/// the sender; so each one stays below half of the limit.
 constexpr double kColdLimitFraction = 0.5;
-/// Servers that an object may go to while all are sound. More would find a free
-/// slot sooner and be cold for the object more often.
+/// Servers that an object's requests go to while all are healthy. With more, a
+/// free slot would be found sooner, but more often at a server that does not
+/// have the object cached.
 constexpr size_t kCandidatesPerObject = 2;
-/// Part of a region's VMs that are taken to be cut off from the store at once.
-/// Servers may turn cold without their learning of it. They share the half of
-/// the bound that the one VM which sends to a cold server leaves.
+/// Fraction of a region's VMs that are assumed to have stale data at the same
+/// time. Servers may become cold without these VMs noticing. They share the
+/// half of the limit that is left by the VM which the cold server is assigned
+/// to.
 constexpr double kStaleVmsFraction = 0.5;
-/// A VM that has just joined sees others late; until then it may take itself
-/// for the only one. Longer than the store's slowest watch.
+/// A VM that has just joined sees the other members late and might consider
+/// itself the only one until then. Longer than the store's slowest watch.
 constexpr Duration kMinMembershipForCold = seconds(2);
 
 bool WasTried(const PickCriteria& criteria, const std::string& instance) {
@@ -36,8 +39,8 @@
                    instance) != criteria.m_tried->end();
 }
 
-/// Whether the server's own word forbids to send the request there now. A
-/// bound, unlike a rest of ours, which only ranks a server last.
+/// Whether the server itself asks not to be sent the request now. This excludes
+/// the server, whereas an ejection by this VM only ranks it last.
 bool DeclinesRequests(const ServerState& server,
                       const PickCriteria& criteria,
                       TimePoint now) {
@@ -131,8 +134,9 @@
                             ? 0
                             : server->Occupancy(now) / entry.m_slots;
     const bool is_avoided = ShouldAvoid(*server, criteria, now);
-    // Resting servers come last instead of dropping out: where all rest, the
-    // cause is likely not theirs, and refusing everything would be worse.
+    // Avoided servers are ranked last rather than excluded: if all are ejected,
+    // the cause is probably not theirs, and refusing all requests would be
+    // worse.
     candidates.emplace_back(is_avoided, load,
                             ~ObjectWeight(criteria.m_object, entry.m_instance),
                             server);
@@ -208,11 +212,11 @@
     const double surplus =
         server->Occupancy(now) + server->Waiting() + 1 - limit;
     const double wait = std::max(0.0, surplus) / std::max(1.0, limit);
-    // All entry VMs put an object's first server first, so that one is warm by
-    // their requests, which this VM does not see. Taken as not warm, it lost
-    // the object to the second server over any wait. Value of the answers to
-    // their callers under overload, of the most possible: 0.714 before, 0.731
-    // after.
+    // All entry VMs rank an object's first server first, so its cache is warm
+    // through their requests, which this VM does not see. Assuming a cache miss
+    // there sent the object to the second server on any wait. Value of the
+    // responses to their callers under overload, relative to the maximum: 0.714
+    // with that assumption, 0.731 without.
     const bool is_warm = !criteria.m_keeps_objects_together ||
                          considered == 1 ||
                          server->IsWarmFor(criteria.m_object, now);
--- a/src/steer/server_picker.h
+++ b/src/steer/server_picker.h
@@ -25,39 +25,40 @@
 struct ServerEntry;
 struct ServiceRules;
 
-/// What matters of a request for the pick.
+/// Properties of a request that decide which server is picked.
 struct PickCriteria {
   /// Hash of the object that the request is about.
   uint64_t m_object = 0;
   bool m_keeps_objects_together = false;
-  /// Instances that the request was sent to before.
+  /// Instances that the request was already sent to.
   const std::vector<std::string>* m_tried = nullptr;
   UsualService m_usual;
-  /// Which servers with a limit may be tried; nullptr: all.
+  /// Decides which servers with a rate limit may be tried; nullptr allows all.
   const ServerLimits* m_limits = nullptr;
-  /// Whether servers with a limit that are left to the VMs of their region may
-  /// be taken as well.
+  /// Whether to include servers with a rate limit that are normally left to the
+  /// VMs of their own region.
   bool m_allows_remote_limited = false;
 };
 
-/// Servers for a request; nullptr where there is none.
+/// Servers picked for a request; nullptr if there is none.
 struct Choice {
-  /// Expected to answer first; it may have no free slot.
+  /// Expected to answer first; may have no free slot.
   ServerState* m_fastest = nullptr;
-  /// Expected to answer first among those that have a free slot.
+  /// Expected to answer first among the servers with a free slot.
   ServerState* m_fastest_free = nullptr;
-  /// Servers that were left out, since they ask for no more requests now.
+  /// Servers skipped because they currently ask for no more requests.
   uint32_t m_passed_over = 0;
 };
 
 /// Picks among the servers of one service and region.
 ///
 /// Load pattern: servers work 3.3 times as fast on objects that they handled
-/// lately, and remember only some. Each object therefore has a fixed order of
-/// servers, by highest random weight; a server that joins or leaves moves only
-/// its own objects. Of the first servers of that order, the request goes to the
-/// one expected to answer first: a short wait for a warm server beats a free
-/// slot at one that is not warm.
+/// recently, and have only some objects cached. Each object therefore has a
+/// fixed ranking of servers by rendezvous hashing (highest random weight), so
+/// that a server that joins or leaves moves only its own objects. Among the top
+/// servers of that ranking, the request goes to the one expected to answer
+/// first: a short wait for a server with a warm cache is better than a free
+/// slot at one without.
 class ServerPicker {
  public:
   explicit ServerPicker(const SteeringSettings& settings);
@@ -65,33 +66,36 @@
   void SetFleet(std::vector<FleetMember> fleet, TimePoint now);
   void SetEvacuated(std::set<std::string> domains);
 
-  /// Whether nothing new can be learned of servers at the moment.
+  /// Whether the store's data on servers can currently not be confirmed, so
+  /// that changes to servers may be missing.
   void SetDataStale(bool is_stale) { m_is_data_stale = is_stale; }
   bool IsDataStale() const { return m_is_data_stale; }
 
   const std::vector<FleetMember>& Fleet() const { return m_fleet; }
-  /// VMs that were weighed so far to find who sends to cold servers.
+  /// Number of weights computed so far to assign cold servers to VMs.
   uint64_t VmWeightsComputed() const {
     return m_cold_assignment.WeightsComputed();
   }
   bool IsEvacuated(const std::string& domain) const;
 
-  /// Whether requests may be sent to the server at all.
+  /// Whether the server may be sent requests at all: it is not leaving, gone or
+  /// evacuated.
   bool IsUsable(const ServerState& server) const;
 
-  /// Whether a request may be sent to the server now, by what the store and the
-  /// server itself say.
+  /// Whether a request may be sent to the server now, according to the store
+  /// and to the server's own notices.
   bool MaySend(const ServerState& server, TimePoint now) const;
 
-  /// Whether this VM can expect to have requests taken by the server now: its
-  /// failure domain is within reach, and a cold one is not left to another VM.
+  /// Whether the server can be expected to accept requests of this VM now: the
+  /// breaker of its failure domain is closed, and if it is cold, it is assigned
+  /// to this VM.
   bool IsReachable(const ServerState& server,
                    const ServiceRules& rules,
                    TimePoint now) const;
 
   bool IsBreakerOpen(const std::string& domain, TimePoint now) const;
 
-  /// The breaker of a failure domain.
+  /// Circuit breaker of a failure domain.
   DomainBreaker& Breaker(const std::string& domain) {
     return m_breakers[domain];
   }
@@ -101,31 +105,31 @@
               const PickCriteria& criteria,
               TimePoint now) const;
 
-  /// Requests that this VM may send to a server in any second; nothing where
-  /// there is no bound.
+  /// Requests that this VM may send to the server within any second; no value
+  /// means no limit.
   std::optional<uint32_t> RateLimit(const ServerState& server,
                                     const ServiceRules& rules,
                                     TimePoint now) const;
 
  private:
   using Ranked = std::vector<ServerState*>;
-  /// Whether the server, or its whole failure domain, should be left alone
-  /// while others can take the request.
+  /// Whether the server, or its whole failure domain, should be avoided while
+  /// others can take the request.
   bool ShouldAvoid(const ServerState& server,
                    const PickCriteria& criteria,
                    TimePoint now) const;
-  /// Usable servers in the order of choice.
+  /// Usable servers, best first.
   Ranked Rank(const std::vector<ServerState*>& servers,
               const PickCriteria& criteria,
               TimePoint now) const;
-  /// Chooses among the servers that an object prefers; nothing where too few of
+  /// Picks among the top-ranked servers of the object; no value if too few of
   /// them can take the request.
   std::optional<Choice> PickAmongTop(RegionServers& servers,
                                      const ServiceRules& rules,
                                      const PickCriteria& criteria,
                                      TimePoint now) const;
-  /// Chooses among the first servers of the order that take the request; counts
-  /// in `considered` how many did.
+  /// Picks among the first servers in the given order that can take the
+  /// request; `considered` returns how many were compared.
   Choice PickInOrder(const Ranked& ranked,
                      const ServiceRules& rules,
                      const PickCriteria& criteria,
@@ -134,15 +138,15 @@
 
   uint32_t ColdLimit(const ServiceRules& rules) const;
   uint32_t StaleDataLimit(const ServiceRules& rules) const;
-  /// Whether this VM is the one that sends to a cold server.
+  /// Whether this VM is the one that sends to the cold server.
   bool IsAssignedColdServer(const ServerState& server, TimePoint now) const;
 
   const SteeringSettings& m_settings;
   std::map<std::string, DomainBreaker> m_breakers;
   std::vector<FleetMember> m_fleet;
-  /// Entry VMs of the own region.
+  /// Number of entry VMs in this VM's region.
   size_t m_vms_in_region = 0;
-  /// Keeps answers.
+  /// Mutable since it caches its results.
   mutable ColdServerAssignment m_cold_assignment;
   TimePoint m_member_since = TimePoint::max();
   std::set<std::string> m_evacuated;
--- a/src/steer/server_state.cc
+++ b/src/steer/server_state.cc
@@ -1,4 +1,5 @@
-/// @file server_state.cc Learning from the ends of requests.
+/// @file server_state.cc Load and health of a server from the outcomes of
+/// requests.
 
 #include "steer/server_state.h"
 
@@ -9,44 +10,49 @@
 
 namespace {
 
-/// Weight of the newest sample in moving averages; five samples to notice.
+/// Weight of the newest sample in moving averages; a change shows within five
+/// samples.
 constexpr double kSampleWeight = 0.2;
-/// Mean loads are for slow decisions; they are kept over some requests of a VM
-/// that sends to the server once a second.
+/// Age after which the mean load is no longer used. Mean loads serve slow
+/// decisions, so they are kept for several requests of a VM that sends to the
+/// server once a second.
 constexpr Duration kLoadMaxAge = seconds(3);
-/// Consecutive failures after which a server rests. One lost answer may be
-/// chance; a connection that is not even opened says that nobody listens.
+/// Consecutive failures after which a server is ejected. One lost response may
+/// be chance; a connection that cannot be opened means that nothing listens
+/// there.
 constexpr uint32_t kFailuresToEject = 2;
 constexpr uint32_t kUnsentToEject = 1;
-/// First rest; it doubles with each further failure up to the longest.
+/// Duration of the first ejection; doubles with each further failure up to the
+/// maximum.
 constexpr Duration kFirstEjection = milliseconds(400);
 constexpr Duration kMaxEjection = seconds(4);
-/// After a rejection the server is taken as full for about the time in which
-/// one of its slots comes free.
+/// After a rejection the server counts as full for about the time until one of
+/// its slots becomes free.
 constexpr Duration kFullBackoff = milliseconds(60);
-/// Slower than usual by this factor: degraded. Objects that are not warm
+/// A server that is slower than usual by this factor is degraded. Cache misses
 /// alone take 3.3 times as long.
 constexpr double kDegradedLatencyFactor = 5;
-/// Part of sends rejected or failed from which on a server is degraded.
+/// A server with a larger fraction of rejected or failed attempts is degraded.
 constexpr double kDegradedFraction = 0.3;
-/// No answer at all for this long, and for this many usual latencies, while
-/// requests are under way: stalled.
+/// A server with requests in flight is stalled when it has not answered for
+/// this long and for this many usual latencies.
 constexpr Duration kStallTimeout = milliseconds(1500);
 constexpr int kStallLatencyFactor = 6;
-/// A server is taken as warm for an object for this long after a request.
-/// Servers forget by number of objects, which nobody tells us; the time is that
-/// in which a busy server meets more objects than it remembers.
+/// Time after a request for which a server is assumed to have the object
+/// cached. Servers evict by number of objects, which they do not report; within
+/// this time a busy server handles more objects than its cache holds.
 constexpr Duration kWarmTime = seconds(15);
 /// Objects remembered for one server; 16 KB of memory.
 constexpr size_t kMaxObjects = 512;
-/// Requests that a server may have beyond its slots. A slot that comes free is
-/// then taken at once, instead of after the answer's way back and the next
-/// request's way there. Worth of the answers to their callers, of the most
-/// possible, over five days with six seeds each: 0.580 with none, 0.592 and
-/// 0.602 with one (two runs), 0.591 with two, 0.577 with three, which wait
-/// longer at a server that another one could have relieved.
+/// Requests that a server may have in flight beyond its slots. A slot that
+/// becomes free is then reused at once instead of after a round trip. Value of
+/// the responses to their callers, relative to the maximum, over five days with
+/// six seeds each: 0.580 with none, 0.592 and 0.602 with one (two runs), 0.591
+/// with two, and 0.577 with three, since those wait longer at a server when
+/// another one could take them.
 constexpr double kExtraInFlight = 1;
-/// A cold server's own time is uncertain by the age of its entry.
+/// Margin for the age of the entry, by which the remaining cold time is
+/// uncertain.
 constexpr Duration kColdMargin = milliseconds(500);
 
 void Blend(double& average, double sample) {
@@ -119,9 +125,10 @@
   }
   Blend(m_rejections, 0);
   if (report.m_end == AttemptEnd::kDeadlineExceeded) {
-    // It says nothing of the server. Taken for failures, two of them made it
-    // rest under overload, and its objects went to servers that were not warm
-    // for them; these fell behind in turn.
+    // The timeout says nothing about the server's health. Counting it as a
+    // failure ejected a server after two timeouts under overload; its objects
+    // moved to servers that did not have them cached, which fell behind in
+    // turn.
     return;
   }
   if (report.m_end != AttemptEnd::kAnswered) {
@@ -173,8 +180,8 @@
     m_full_until = now + kFullBackoff;
     return;
   }
-  // Not for want of slots: a part of its sends, whatever its load. Pausing
-  // would leave its slots idle.
+  // The server rejects although it has free slots: a fraction of its requests,
+  // independent of load. Treating it as full would leave its slots idle.
   Blend(m_rejections, 1);
 }
 
@@ -217,8 +224,9 @@
   if (now < m_ejected_until) {
     return true;
   }
-  // A server that lost power answers nothing and resets nothing: without this
-  // it would be sent requests until the first of them reach their deadline.
+  // A server that lost power neither answers nor resets connections: without
+  // this check it would be sent requests until the first of them reach their
+  // deadlines.
   return m_own_in_flight > 0 &&
          now - m_last_end >
              std::max(kStallTimeout, kStallLatencyFactor * usual.m_latency);
--- a/src/steer/server_state.h
+++ b/src/steer/server_state.h
@@ -1,4 +1,4 @@
-/// @file server_state.h What this entry VM knows of one backend server.
+/// @file server_state.h State of one backend server as known to this entry VM.
 
 #ifndef SORRELPLANK_STEER_SERVER_STATE_H_
 #define SORRELPLANK_STEER_SERVER_STATE_H_
@@ -19,94 +19,99 @@
 
 namespace sorrelplank {
 
-/// Load and health of a backend server, learned from requests alone: probes
-/// cost the server work, and their answers may be wrong.
+/// Load and health of a backend server, learned only from requests: probes cost
+/// the server work, and their results may be wrong.
 class ServerState {
  public:
-  /// Work on an object for which a server is not warm, in usual latencies; by
-  /// the deployments' measure of warm work.
+  /// Processing time of a request whose object the server does not have cached,
+  /// in usual latencies; the deployments' measured ratio to work with a warm
+  /// cache.
   static constexpr double kCacheMissFactor = 3.3;
 
-  /// The region by the number that Steering gave it.
+  /// `region` is the region's number in Steering.
   ServerState(ServerEntry entry, size_t region, TimePoint now);
 
   const ServerEntry& Entry() const { return m_entry; }
   size_t Region() const { return m_region; }
-  /// Takes a newer entry of the same instance.
+  /// Applies a newer entry of the same run.
   void Update(ServerEntry entry, TimePoint now);
 
   void CountSend(TimePoint now);
   void CountEnd(const AttemptReport& report, TimePoint now);
   void CountCancel() { --m_own_in_flight; }
 
-  /// What its run asks of its callers.
+  /// What the server's run asks of its callers.
   const ServerNotices& Notices() const { return m_notices; }
-  /// The run was known before, and asked this.
+  /// Restores the notices of a run that was already known.
   void RestoreNotices(const ServerNotices& notices) { m_notices = notices; }
 
-  /// Takes a report of the server's load if it is the newest, also one that
-  /// another entry VM received.
+  /// Applies a load report, received by this VM or by another one, unless a
+  /// newer one is known.
   void ApplyLoadReport(const ReportedLoad& load, Duration age, TimePoint now);
-  /// The last report that came to this VM since it was asked before.
+  /// The last report received by this VM, unless this method has already
+  /// returned it.
   std::optional<ServerLoad> TakeUnsharedLoad(TimePoint now);
 
-  /// Requests under way: our own, and those of others by its last report.
+  /// Requests in flight: those of this VM, and the estimate of the other VMs'.
   double Occupancy(TimePoint now) const;
-  /// Requests under way and waiting at the server by its own reports, of all
-  /// entry VMs; nothing where it has not reported lately.
+  /// Average number of requests running and waiting at the server, of all entry
+  /// VMs, by its own reports; no value without a recent report.
   std::optional<double> RecentLoad(TimePoint now) const;
-  /// Requests that it should have under way at the most.
+  /// Maximum number of requests that it should have in flight.
   double OccupancyLimit(TimePoint now, const UsualService& usual) const;
-  /// Whether it fails, or answers nothing at all, so that it should be given no
-  /// requests now.
+  /// Whether it should get no requests now because it fails or has stopped
+  /// answering.
   bool IsEjected(TimePoint now, const UsualService& usual) const;
   /// Another instance answers at its address: this one is gone.
   void MarkGone() { m_is_gone = true; }
   bool IsGone() const { return m_is_gone; }
-  /// Whether it is much slower than usual, or rejects a large part.
+  /// Whether it is much slower than usual, or rejects or fails a large fraction
+  /// of requests.
   bool IsDegraded(const UsualService& usual) const;
 
   bool IsCold(TimePoint now) const { return now < m_cold_until; }
-  /// From now on it counts as cold for at least the given time.
+  /// Treats the server as cold for at least the given time from now.
   void MarkCold(Duration time, TimePoint now);
-  /// Counts one request under a limit on the rate if it allows it.
+  /// Counts one request against a rate limit; false if the limit is reached.
   bool TryTakeRate(uint32_t most_per_second, TimePoint now);
-  /// Whether the limit on the rate allows a request.
+  /// Whether the rate limit allows a request.
   bool HasRateRoom(uint32_t most_per_second, TimePoint now);
 
-  /// Whether a request that was given so long should have been answered, though
-  /// the server is not warm for its object and others wait there.
+  /// Whether the time given to a request should have sufficed for an answer
+  /// even without its object in the server's cache and with the server's
+  /// current queue.
   bool HadEnoughTime(Duration given, Duration usual, TimePoint now) const;
 
   uint32_t InFlight() const { return m_own_in_flight; }
-  /// Consecutive sends that failed.
+  /// Number of consecutive failed attempts.
   uint32_t FailuresInRow() const { return m_failures_in_row; }
-  /// Whether this VM sent a request on the object here lately.
+  /// Whether the server probably has the object cached, since this VM recently
+  /// sent it a request for the object.
   bool IsWarmFor(uint64_t object, TimePoint now) const;
   void MarkWarmFor(uint64_t object, TimePoint now);
 
-  /// Requests that wait here for a slot of this server.
+  /// Requests queued at this VM for a slot of the server.
   uint32_t Waiting() const { return m_waiting; }
   void AddWaiting() { ++m_waiting; }
   void RemoveWaiting() { --m_waiting; }
 
  private:
-  /// The server rests once so many failures came in a row.
+  /// Ejects the server after the given number of consecutive failures.
   void CountFailure(uint32_t failures_to_eject, TimePoint now);
   void CountRejection(const AttemptReport& report, TimePoint now);
 
   ServerEntry m_entry;
   size_t m_region;
-  /// Reports from before are those of another run.
+  /// Reports from before this time belong to an earlier run.
   TimePoint m_known_since;
   uint32_t m_own_in_flight = 0;
   uint32_t m_waiting = 0;
   PeerLoadEstimate m_peer_load;
   TimePoint m_reported_at{};
-  /// The last report to this VM, until it is told to others.
+  /// The last report received by this VM, until it is shared with the others.
   std::optional<ReportedLoad> m_unshared_report;
   TimePoint m_unshared_report_at{};
-  /// Moving average of the reports.
+  /// Moving average of the reported loads.
   double m_load = 0;
   QuantileEstimator m_latency{0.5};
   /// Moving averages in 0..1.
--- a/src/steer/slot_time_fraction_func.h
+++ b/src/steer/slot_time_fraction_func.h
@@ -1,5 +1,5 @@
-/// @file slot_time_fraction_func.h How much of a request's time a slot was
-/// taken.
+/// @file slot_time_fraction_func.h Fraction of a request's latency spent in a
+/// slot.
 
 #ifndef SORRELPLANK_STEER_SLOT_TIME_FRACTION_FUNC_H_
 #define SORRELPLANK_STEER_SLOT_TIME_FRACTION_FUNC_H_
@@ -11,9 +11,9 @@
 
 namespace sorrelplank {
 
-/// Part of its time at the server that an answered request had a slot, 0..1: a
-/// server with a queue serves, on average, what it reports as waiting before a
-/// request. 1 where it reports no load.
+/// Fraction (0..1) of its latency that an answered request occupied a slot. A
+/// server with a queue serves, on average, the requests that it reports as
+/// waiting before this one. 1 if the server reports no load.
 inline double SlotTimeFraction(const AttemptReport& report, uint32_t slots) {
   if (!report.m_load) {
     return 1;
--- a/src/steer/steer_action_type.h
+++ b/src/steer/steer_action_type.h
@@ -1,4 +1,4 @@
-/// @file steer_action_type.h What the steering decisions ask to be done.
+/// @file steer_action_type.h Actions requested by the steering decisions.
 
 #ifndef SORRELPLANK_STEER_STEER_ACTION_TYPE_H_
 #define SORRELPLANK_STEER_STEER_ACTION_TYPE_H_
@@ -27,116 +27,121 @@
   VmAddress m_address;
   Duration m_time_left{};
   bool m_idempotent = false;
-  /// Who asks, as the server is told; empty on public routes and where there
-  /// are no organisations.
+  /// Organisation of the caller, passed on to the server; empty on public
+  /// routes and without configured organisations.
   std::string m_organisation;
-  /// Whether the client's key ends here.
+  /// Whether the client's key is not passed on to the server.
   bool m_strips_key = false;
-  /// Idle connections to the server that may be kept behind the answer.
+  /// Maximum number of idle connections to the server that may be kept open
+  /// after the response.
   size_t m_max_idle_connections = 0;
-  /// For logs and counts.
+  /// For logs and metrics.
   std::string m_service;
-  /// The server's region.
+  /// Region of the server.
   std::string m_region;
-  /// What decided, for logs: requests under way there, time since arrival, and
-  /// the table's version.
+  /// Reasons for the decision, for logs: requests in flight at the server, time
+  /// since arrival, and the routing table's version.
   double m_occupancy = 0;
   Duration m_waited{};
-  /// Servers left out, since they ask for no more requests.
+  /// Servers skipped because they ask for no more requests.
   uint32_t m_passed_over = 0;
   uint64_t m_table_version = 0;
 };
 
-/// Give a send up: its connection is closed, which ends the work.
+/// Cancel an attempt: its connection is closed, which ends the work at the
+/// server.
 struct CancelSend {
   RequestId m_request;
   AttemptId m_attempt;
 };
 
-/// Hand the answer that a send brought to the client.
+/// Forward the response that an attempt returned to the client.
 struct ForwardServerAnswer {
   RequestId m_request;
   AttemptId m_attempt;
 };
 
-/// Answer without a backend server's answer.
+/// Answer the request without a backend server's response.
 struct RefuseRequest {
   RequestId m_request;
   SteerRefusal m_reason = SteerRefusal::kNotReady;
   Duration m_retry_after{};
-  /// What decided, for logs.
-  /// Empty where it is not known or there is none.
+  /// Reasons for the decision, for logs.
+  /// Name of the organisation; empty if unknown or none.
   std::string m_organisation;
   QueueState m_queue;
   Duration m_waited{};
   uint64_t m_table_version = 0;
   uint32_t m_sends = 0;
-  /// Servers left out, since they ask for no more requests.
+  /// Servers skipped because they ask for no more requests.
   uint32_t m_passed_over = 0;
-  /// Servers that ended under the request.
+  /// Servers that crashed while they ran the request.
   size_t m_ends = 0;
 };
 
-/// Nothing to do: what the decisions believe has changed, for logs.
+/// For logs only: the assumed state of a server, service or failure domain
+/// changed.
 struct StateChanged {
-  /// A constant, such as "server_rests".
+  /// Constant name of the log event, such as "server_rests".
   const char* m_event = "";
-  /// A server's instance or a service.
+  /// Instance of a server, or name of a service or failure domain.
   std::string m_subject;
   double m_value = 0;
 };
 
-/// Nothing to do: a service's split over regions moved, for logs.
+/// For logs only: a service's split over regions shifted.
 struct RegionSplitChanged {
   std::string m_service;
-  /// Part of the objects that the own region runs.
+  /// Fraction of the objects that the VM's own region serves.
   double m_own_share = 1;
-  /// Requests under way and waiting per slot.
+  /// Requests running and waiting per slot.
   double m_own_load = 0;
-  /// The same of the least loaded other region that has slots.
+  /// The same for the least loaded other region with slots.
   double m_least_load_elsewhere = 0;
 };
 
-/// A backend server started again: its kept connections are those of the run
-/// before.
+/// A backend server restarted: its idle connections belong to the previous run
+/// and are useless.
 struct ServerRestarted {
   std::string m_instance;
 };
 
-/// Find out whether a server still takes connections; ServerChecked tells.
+/// Check whether a server still accepts connections; the result is passed to
+/// ServerChecked.
 struct CheckServerReachable {
   std::string m_instance;
   VmAddress m_address;
 };
 
-/// This VM saw a server end under a request; to be told to the other VMs.
+/// This VM saw a server crash while it ran a request; to be reported to the
+/// other VMs.
 struct RequestSuspected {
   CrashReport m_report;
-  /// Servers that ended under it, as far as this VM knows.
+  /// Servers that crashed under the request, as known to this VM.
   size_t m_ends = 0;
 };
 
-/// Nothing to do: from now on a request is held back, for logs.
+/// For logs only: a request is held back from now on.
 struct RequestHeld {
   RequestDigest m_digest;
   size_t m_ends = 0;
 };
 
-/// Nothing to do: a request is no longer held back, by word of another VM or of
-/// an operator, for logs.
+/// For logs only: a request is no longer held back, because of a report from
+/// another VM or by an operator.
 struct HoldEnded {
   RequestDigest m_digest;
 };
 
-/// These facts no longer count; to be told to the other VMs.
+/// These crash facts no longer count; to be reported to the other VMs.
 struct CrashesForgotten {
   std::vector<CrashFact> m_facts;
   /// "answered" or "expired".
   const char* m_reason = "";
 };
 
-/// Ask another entry VM for tokens of a quota; ApplyQuotaGrant tells the
-/// answer.
+/// Ask another entry VM for tokens of a quota; the answer is passed to
+/// ApplyQuotaGrant.
 struct AskForTokens {
   QuotaQuestion m_question;
 };
--- a/src/steer/steered_request_type.h
+++ b/src/steer/steered_request_type.h
@@ -1,4 +1,4 @@
-/// @file steered_request_type.h A request as the decisions see it.
+/// @file steered_request_type.h State of a request in the steering decisions.
 
 #ifndef SORRELPLANK_STEER_STEERED_REQUEST_TYPE_H_
 #define SORRELPLANK_STEER_STEERED_REQUEST_TYPE_H_
@@ -22,9 +22,9 @@
 struct RoutingTable;
 class ServerState;
 
-/// Order in a line; the lesser numbers go first.
+/// Order in a wait queue; lower numbers go first.
 struct RequestRank {
-  /// The organisation's priority, or else the route's.
+  /// Priority of the organisation, or of the route if it has none.
   int m_organisation = 0;
   int m_route = 0;
 
@@ -34,69 +34,71 @@
   }
 };
 
-/// What a client asks for.
+/// Properties of a client's request.
 struct RequestFacts {
   RequestId m_request;
   std::string m_host;
   std::string m_path;
-  /// Hash of the object that the request is about; of the request itself where
-  /// it names none.
+  /// Hash of the object that the request is about; of the request itself if it
+  /// names no object.
   uint64_t m_object = 0;
-  /// How long the client waits.
+  /// Time until the client's deadline.
   Duration m_time_left{};
-  /// The same for each attempt of one caller at the same request.
+  /// Identical for all retries of the same request by one caller.
   RequestDigest m_digest{};
-  /// What the client shows to say who asks.
+  /// Key by which the client identifies its organisation.
   std::optional<std::string> m_key;
 };
 
-/// One send of a request that has not ended.
+/// An attempt that has not ended.
 struct LiveAttempt {
   AttemptId m_attempt;
   std::shared_ptr<ServerState> m_server;
   TimePoint m_sent;
 };
 
-/// A request under way.
+/// A request that has not ended.
 struct SteeredRequest {
   RequestFacts m_facts;
   /// Keeps the route and the organisation alive.
   std::shared_ptr<const RoutingTable> m_table;
   const RouteRule* m_route = nullptr;
-  /// Who asks; nullptr on public routes and where there are no organisations.
+  /// Organisation of the caller; nullptr on public routes and without
+  /// configured organisations.
   const Organisation* m_organisation = nullptr;
   RequestRank m_rank;
   std::string m_service;
   RegionShares::Mask m_allowed_regions = 0;
   TimePoint m_arrived;
-  /// The answer is due by then.
+  /// Time by which the request must be answered.
   TimePoint m_deadline;
   std::vector<LiveAttempt> m_live_attempts;
-  /// Instances that it was given to; it is not given to them again.
+  /// Instances that the request was sent to; it is not sent to them again.
   std::vector<std::string> m_tried;
-  /// Servers left out when a server was last chosen, since they ask for no more
-  /// requests; for logs.
+  /// Servers skipped in the last choice because they ask for no more requests;
+  /// for logs.
   uint32_t m_passed_over = 0;
-  /// Sends of which a byte may have reached a server.
+  /// Attempts of which at least one byte may have reached a server.
   uint32_t m_started_sends = 0;
   /// Held until the routing table has been read.
   bool m_awaits_table = false;
   /// Held until a keeper of its organisation's quota has answered.
   bool m_awaits_token = false;
-  /// A server with a limit that it is sent to once a keeper grants a token.
+  /// Server with a rate limit that the request is sent to once a keeper grants
+  /// a token.
   std::shared_ptr<ServerState> m_awaits_server;
-  /// A token of its organisation's quota is spent on it.
+  /// A token of its organisation's quota has been spent on it.
   bool m_has_token = false;
   bool m_is_queued = false;
-  /// Whose slot it waits for first of all.
+  /// The server whose slot it primarily waits for.
   std::shared_ptr<ServerState> m_queued_for;
-  /// The retry budget was charged for the next send.
+  /// The retry budget has been charged for the next attempt.
   bool m_is_retry_charged = false;
-  /// A send ended without proof that the request did not run.
+  /// An attempt ended without proof that the request did not run.
   bool m_may_have_run = false;
-  /// It goes on once it is known whether the server that lost it has ended.
+  /// Held until it is known whether the server that lost it has crashed.
   bool m_awaits_check = false;
-  /// Sends that were lost.
+  /// Number of lost attempts.
   uint32_t m_lost_sends = 0;
 };
 
--- a/src/steer/steered_service.cc
+++ b/src/steer/steered_service.cc
@@ -12,18 +12,20 @@
 
 namespace {
 
-/// Sends after which a change of the fraction that is rejected shows.
+/// Number of attempts within which a change of the rejected fraction shows.
 constexpr double kRejectionSamples = 20;
-/// Change of the own region's share that is worth a log queue: about what may
-/// move in a second. In steps of a tenth, lines came too seldom to tell the
-/// allowed speed from twice of it.
+/// Change of the own region's share that is logged: about what may shift within
+/// a second. With steps of 0.1, log lines were too rare to tell the allowed
+/// speed from twice that speed.
 constexpr double kLoggedShareStep = 0.05;
-/// A service without a request for this long is not in use: the bound on shifts
+/// A service without requests for this long is not in use: the limit on shifts
 /// compares two windows of 2 s.
 constexpr Duration kUnusedAfter = seconds(4);
-/// Milliseconds; keeps the first answers from promising too much.
+/// Lower bound of the processing time, so that the first responses do not lead
+/// to an overestimated completion rate.
 constexpr double kMinWorkMs = 50;
-/// Part of a server's ends that is expected where none of ours are under way.
+/// Lower bound of the fraction of a server's completions that this VM expects
+/// for its own requests.
 constexpr double kMinOwnFraction = 0.6;
 
 }  // namespace
@@ -90,7 +92,8 @@
   const double work_s =
       std::max(kMinWorkMs, ToMilliseconds(m_times.Work(server->Region()))) /
       1000;
-  // Slots that come free go to whoever sends first: to us by our fraction.
+  // Freed slots go to whichever VM sends first; this VM expects its fraction of
+  // the requests in flight.
   const double occupancy = std::max(1.0, server->Occupancy(now));
   const double fraction =
       std::max(kMinOwnFraction, server->InFlight() / occupancy);
--- a/src/steer/steered_service.h
+++ b/src/steer/steered_service.h
@@ -25,44 +25,45 @@
 class ServerPicker;
 struct ServiceRules;
 
-/// Servers, waiting requests and rates of one service.
+/// Servers, wait queue, split over regions and rates of one service.
 class SteeredService {
  public:
-  /// Regions are numbered by the caller; own is this VM's.
+  /// Regions are numbered by the caller; `own` is this VM's region.
   SteeredService(size_t regions, size_t own, Duration retry_window);
 
   void AddServer(const std::shared_ptr<ServerState>& server);
   void RemoveServer(const std::string& instance);
-  /// Takes a newer entry of the same run of a server.
+  /// Applies a newer entry of the same run of a server.
   void UpdateServer(ServerState& server, ServerEntry entry, TimePoint now);
   RegionServers& ServersIn(size_t region) { return m_by_region[region]; }
-  /// The servers' list that the server is in.
+  /// The servers of the region that the server is in.
   RegionServers& RegionServersOf(const ServerState& server) {
     return m_by_region[server.Region()];
   }
-  /// Servers that were looked at so far to measure regions and to rank.
+  /// Number of servers examined so far for measuring regions and ranking.
   uint64_t ServersExamined() const;
 
-  /// Notes the end of a send.
+  /// Records the outcome of an attempt.
   void CountEnd(const ServerState& server, const AttemptReport& report);
   UsualService Usual() const { return {m_latency.Get(), m_rejections}; }
-  /// The queue at a server; at none where it is nullptr.
+  /// State of the queue for a server; of an empty one if the server is nullptr.
   QueueState QueueAt(const ServerState* server, TimePoint now) const;
 
-  /// Measures the load of each region and moves the split.
+  /// Measures the load of each region and shifts the split.
   void UpdateShares(const ServerPicker& picker,
                     const ServiceRules& rules,
                     double max_shift_per_second,
                     const MovedAwayBounds& bounds,
                     TimePoint now);
 
-  /// A request arrived.
+  /// Records the arrival of a request.
   void CountRequest(TimePoint now);
-  /// Whether requests came lately.
+  /// Whether requests arrived recently.
   bool IsInUse(TimePoint now) const;
 
   const RegionShares& Shares() const { return m_shares; }
-  /// The own region's share if it has changed much since this last told it.
+  /// The own region's share if it has changed significantly since this method
+  /// last returned it.
   std::optional<double> ShareToLog();
   RetryAllowance& Retries() { return m_retries; }
   /// Waiting requests in the order in which they are served.
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -1,4 +1,4 @@
-/// @file steering.cc Routing, placement and the split over regions.
+/// @file steering.cc Routing, server selection and the split over regions.
 
 #include "steer/steering.h"
 
@@ -14,19 +14,20 @@
 
 namespace {
 
-/// How often loads of regions are measured.
+/// Interval between measurements of the regions' loads.
 constexpr Duration kSharesInterval = milliseconds(100);
-/// Part of the allowed shift that is moved in a second. The bound is on two
-/// adjacent windows of 2 s, so a steady move of x a second shows as 2 x; the
-/// rest is left for the unevenness of what the windows catch.
+/// Fraction of the allowed shift that is moved per second. The limit applies to
+/// two adjacent windows of 2 s, so a steady shift of x per second shows as 2 x;
+/// the rest is margin for variation between the windows.
 constexpr double kShiftRateFraction = 0.33;
-/// How much more of its objects one service may have moved away from the own
-/// region, or back to it, than another, as a part of the allowed shift. The
-/// bound holds over all services together: where they stand far max_skew, a
-/// change of the traffic's mix alone moves requests. The last requests of a
-/// burst, two thirds of them of one service that had moved half away, ran
-/// elsewhere by 0.35 in 2 s. With one of two services come home and the other
-/// not, the end of the other's requests moved 0.32; now 0.06.
+/// Maximum difference between two services in the fraction of their objects
+/// moved away from (or back to) the own region, as a fraction of the allowed
+/// shift. The limit on shifts applies to all services together: if their splits
+/// differ much, a mere change of the traffic mix moves requests. At the end of
+/// a burst, with two thirds of the requests belonging to a service that had
+/// moved half away, requests shifted by 0.35 in 2 s. With one of two services
+/// back home and the other not, the end of the other's requests shifted 0.32;
+/// with this limit 0.06.
 constexpr double kServiceSkewFraction = 1;
 
 /// All regions in the order of their numbers.
@@ -40,8 +41,9 @@
   return regions;
 }
 
-/// All regions, the own one first; the others in an order that differs from
-/// region to region, so that what one lacks is not asked of one other alone.
+/// All regions, starting with the own one. The order of the others differs from
+/// region to region, so that a region's shortage does not burden a single other
+/// one.
 std::vector<std::string> RegionsFromOwn(const SteeringSettings& settings) {
   std::set<std::string> sorted;
   for (const auto& [domain, region] : settings.m_regions) {
@@ -98,8 +100,8 @@
   const Organisation* organisation =
       OrganisationOf(request.m_facts.m_key.value_or(""));
   if (organisation == nullptr) {
-    // 401 ends a caller's tries for good. A VM that may have missed the version
-    // that brought the key can only say that it did not run the request.
+    // A client does not retry after status 401. A VM that may have missed the
+    // table version with the key must only say that the request did not run.
     return m_picker.IsDataStale() ? SteerRefusal::kTableMayBeOld
                                   : SteerRefusal::kUnknownKey;
   }
@@ -138,10 +140,10 @@
   request.m_facts = std::move(facts);
   request.m_arrived = now;
   if (m_is_loading) {
-    // A table that is there already may be seconds old: it could name a route's
-    // former service, and servers that turned cold meanwhile. Refused, the
-    // client would use up one of its few retries and be late by the time to
-    // come back; the table is there sooner than it would be back.
+    // An existing table may be seconds old: it could name a route's former
+    // service, and servers may have become cold since. A refusal would cost the
+    // client one of its few retries and the time until then; loading takes less
+    // than that.
     request.m_awaits_table = true;
     request.m_deadline =
         now + std::min<Duration>(request.m_facts.m_time_left, kMostHeld);
@@ -153,9 +155,9 @@
     return;
   }
   if (m_refuses_new) {
-    // A request on a kept connection, so late in a stop that its answer might
-    // not come before the process ends: its client would see a cut and could
-    // not tell whether it ran.
+    // The request came on an existing connection so late during shutdown that
+    // its response might not be sent before the process exits. The client would
+    // see a closed connection and could not tell whether the request ran.
     Refuse(request, SteerRefusal::kStopping, now);
     return;
   }
@@ -167,8 +169,9 @@
   if (is_loading || m_awaiting_table.empty()) {
     return;
   }
-  // The split over regions must be set by the servers before the first request
-  // starts it; begun with all requests at home, it took ten seconds to move.
+  // The split over regions must be computed from the servers before the first
+  // request starts limiting it. Started with all requests in the own region, it
+  // took ten seconds to shift.
   UpdateShares(now);
   std::list<RequestId> held;
   held.swap(m_awaiting_table);
@@ -192,8 +195,8 @@
       std::min(request.m_facts.m_time_left, request.m_route->m_timeout);
   request.m_deadline = request.m_arrived + time;
   if (m_crashes.IsHeld(request.m_facts.m_digest, now)) {
-    // Repeated without end, it would end one server after the other, and with
-    // each one the requests of other callers that run there.
+    // A request that is retried endlessly would crash one server after the
+    // other, each with the requests of other callers that run there.
     Refuse(request, SteerRefusal::kHeldBack, now);
     return;
   }
@@ -251,9 +254,9 @@
       continue;
     }
     least_away = std::min(least_away, shares.MovedAway());
-    // Coming home brings a service nearer to those that are there already. One
-    // that has no server at home or is asked nothing stays where it is, and
-    // would keep all others away for good.
+    // Moving back home brings this service closer to those that are already
+    // there. Services without servers at home or without requests do not move,
+    // and would keep all others away permanently.
     const bool holds_back = service->IsInUse(now) && shares.HasOwnSlots() &&
                             shares.OwnShare() < moving.Shares().OwnShare();
     if (holds_back) {
--- a/src/steer/steering.h
+++ b/src/steer/steering.h
@@ -1,4 +1,4 @@
-/// @file steering.h Decides where requests go, wait, and how they end.
+/// @file steering.h Decides where and when requests are sent, and how they end.
 
 #ifndef SORRELPLANK_STEER_STEERING_H_
 #define SORRELPLANK_STEER_STEERING_H_
@@ -34,41 +34,42 @@
 
 namespace sorrelplank {
 
-/// The decisions of one entry VM: no sockets, no clock. Events and the time go
-/// in, actions come out of the sink. The sink must not call back into this.
+/// The steering decisions of one entry VM, without I/O and clock: events and
+/// the current time are passed in, actions are passed to the sink. The sink
+/// must not call back into this object.
 class Steering {
  public:
   using Sink = std::function<void(const SteerAction&)>;
 
   Steering(SteeringSettings settings, Sink sink);
 
-  // What is known. Each takes effect for waiting requests too.
+  // Configuration, servers and fleet. Changes also apply to waiting requests.
   void Install(std::shared_ptr<const RoutingTable> table, TimePoint now);
   ServerChange PutServer(const ServerEntry& entry, TimePoint now);
   void RemoveServer(const std::string& instance, TimePoint now);
   void SetEvacuated(const std::set<std::string>& domains, TimePoint now);
   void SetFleet(std::vector<FleetMember> fleet, TimePoint now);
 
-  /// Whether nothing new can be learned of servers and configuration at the
-  /// moment.
+  /// Whether the store's data on servers and configuration can currently not be
+  /// confirmed, so that changes may be missing.
   void SetDataStale(bool is_stale) { m_picker.SetDataStale(is_stale); }
 
-  /// Replaces limits; the own place stays.
+  /// Replaces the limits; the VM's identity and location stay.
   void SetLimits(const SteeringSettings& settings);
 
-  /// The organisation that holds the key by the table in force, or nullptr.
+  /// The organisation that holds the key in the current table, or nullptr.
   const Organisation* OrganisationOf(const std::string& key) const;
 
-  /// Regions that may take requests of a host: those that are homes of all its
-  /// routes with homes; empty: all.
+  /// Regions that may take requests for a host: the intersection of the home
+  /// regions of all its routes that have any; empty means all.
   std::vector<std::string> HomesOf(const std::string& host) const;
 
-  /// Whether routing table and servers are being read for the first time, or
-  /// are read and may be old. Requests that arrive meanwhile are held until
-  /// that ends.
+  /// Whether the routing table and the servers are being read for the first
+  /// time, or have been read but may be outdated. Requests that arrive
+  /// meanwhile are held until loading ends.
   void SetLoading(bool is_loading, TimePoint now);
 
-  /// From now on new requests are refused; those under way are finished.
+  /// Refuses new requests from now on; requests in flight are finished.
   void RefuseNew() { m_refuses_new = true; }
 
   // Requests.
@@ -78,49 +79,51 @@
              const AttemptReport& report,
              TimePoint now);
   void ClientLeft(RequestId request, TimePoint now);
-  /// Deadlines, waiting requests and second sends; to be called often.
+  /// Checks deadlines, queued requests and hedges; to be called frequently.
   void Tick(TimePoint now);
 
-  /// Loads that servers told this VM since this was asked before.
+  /// Loads that servers reported to this VM since the previous call.
   std::vector<ServerLoad> TakeUnsharedLoads(TimePoint now);
-  /// Loads that another entry VM was told.
+  /// Applies loads that were reported to another entry VM.
   void ApplyPeerLoads(const std::vector<ServerLoad>& loads, TimePoint now);
 
-  // Requests that servers ended under.
-  /// What came of CheckServerReachable.
+  // Requests that servers crashed under.
+  /// Result of a CheckServerReachable action.
   void ServerChecked(const std::string& instance,
                      ServerReach reach,
                      TimePoint now);
-  /// Another VM saw a server end under a request, so long ago.
+  /// Applies another VM's report that a server crashed under a request; `age`
+  /// is the time since the crash.
   void ApplyPeerCrash(const CrashFact& fact, Duration age, TimePoint now);
-  /// Another VM saw the request answered, or an operator released it.
+  /// Drops a crash fact because another VM saw the request answered, or an
+  /// operator released it.
   void DropCrash(const CrashFact& fact, TimePoint now);
   const CrashRegister& Crashes() const { return m_crashes; }
 
   // Quotas of organisations.
-  /// Whether the others may have taken this VM off the fleet without its
-  /// knowledge, and another one keeps the quotas that were its own.
+  /// Whether the other VMs may have removed this VM from the fleet without its
+  /// knowledge, so that another VM now keeps its quotas.
   void SetMayBeReplaced(bool may_be) {
     m_may_be_replaced = may_be;
     m_server_limits.SetMayBeReplaced(may_be);
   }
-  /// Another entry VM asks this one as a keeper.
+  /// Answers another entry VM that asks this one as a keeper.
   QuotaGrant AnswerQuotaAsk(const QuotaAsk& ask, TimePoint now);
-  /// What came of AskForTokens.
+  /// Answer to an AskForTokens action.
   void ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now);
 
   const RoutingTable* Table() const { return m_table.get(); }
   size_t Running() const { return m_requests.size(); }
   size_t AwaitingTokens() const { return m_quota_gate.WaitingCount(); }
-  /// Servers that name a limit on their requests.
+  /// Number of servers that announce a limit on their request rate.
   size_t LimitedServers() const;
-  /// Servers that want no requests from this VM now.
+  /// Number of servers that currently want no requests from this VM.
   size_t PausedServers(TimePoint now) const;
   size_t AwaitingServerTokens() const { return m_server_limits.WaitingCount(); }
   size_t LimitsKept() const { return m_server_limits.KeptCount(); }
   size_t QuotasKept() const { return m_quota_keeper.Count(); }
   size_t ServerCount() const { return m_servers.size(); }
-  /// Servers that decisions looked at so far.
+  /// Number of servers examined by decisions so far.
   uint64_t ServersExamined() const;
   size_t WaitingCount() const;
   const ServerPicker& Picker() const { return m_picker; }
@@ -129,7 +132,7 @@
  private:
   using RequestMap = std::unordered_map<RequestId, SteeredRequest>;
 
-  /// A send that was lost, until it is known whether its server ended.
+  /// A lost attempt for which it is not yet known whether the server crashed.
   struct PendingCrashCheck {
     RequestId m_request;
     CrashReport m_report;
@@ -137,43 +140,45 @@
 
   SteeredService& Service(const std::string& name);
   size_t RegionOf(const std::string& failure_domain) const;
-  /// The regions named; all where none is.
+  /// Bit mask of the named regions; of all regions if none is named.
   RegionShares::Mask MaskOf(const std::vector<std::string>& homes) const;
   const ServiceRules& RulesOf(const std::string& service) const;
 
   void AddServer(const ServerEntry& entry, size_t region, TimePoint now);
-  /// Ends the sends to a run of a server that is over.
+  /// Ends the attempts at a server run that is over.
   void EndSendsTo(const ServerState& server, TimePoint now);
 
-  /// Starts a request on the table in force.
+  /// Starts processing a request with the current table.
   void Admit(SteeredRequest& request, TimePoint now);
-  /// Sets route, organisation and service by the table in force; otherwise
-  /// why it forbids the request.
+  /// Sets the request's route, organisation and service from the current table,
+  /// or returns why the request is refused.
   std::optional<SteerRefusal> Route(SteeredRequest& request);
-  /// Who asks, by the table in force; otherwise why that can't be told.
+  /// Sets the request's organisation from the current table, or returns why it
+  /// cannot be determined.
   std::optional<SteerRefusal> Identify(SteeredRequest& request) const;
   void ChooseService(SteeredRequest& request);
-  /// Starts a request that the quota of its organisation lets pass.
+  /// Continues with a request that its organisation's quota allows.
   void Begin(SteeredRequest& request, TimePoint now);
-  /// Begins the request with a token of its organisation's quota, holds it for
-  /// one, or refuses it.
+  /// Begins the request with a token of its organisation's quota, holds it
+  /// until one is granted, or refuses it.
   void TakeToken(SteeredRequest& request, TimePoint now);
-  /// Hands out questions to keepers; the own ones are answered at once.
+  /// Sends questions to quota keepers; questions to this VM are answered at
+  /// once.
   void AskKeepers(TimePoint now);
   void SettleQuota(const std::vector<QuotaOutcome>& outcomes, TimePoint now);
-  /// A request that did not run needs its token no more.
+  /// Returns the token of a request that did not run.
   void ReturnToken(SteeredRequest& request, TimePoint now);
   void StopAwaitingToken(SteeredRequest& request);
   Choice Choose(SteeredRequest& request, TimePoint now);
-  /// Servers of the request's region, and what it needs of them.
+  /// Servers of the request's region, and the request's criteria.
   RegionServers* Candidates(const SteeredRequest& request,
                             PickCriteria& criteria);
-  /// Sends if the limits allow it, or holds the request for a token of the
-  /// server's limit; spends from the retry budget for a second send.
+  /// Sends the request if the limits allow it, or holds it for a token of the
+  /// server's rate limit; charges the retry budget for a retry.
   bool TrySend(SteeredRequest& request, ServerState* server, TimePoint now);
   bool MayRetry(SteeredRequest& request, TimePoint now);
-  /// Sends to a server with a limit, or holds the request until a keeper has
-  /// answered; false where it is known that there is no token.
+  /// Sends the request to a server with a rate limit, or holds it until a
+  /// keeper has answered; false if no token is available.
   bool TakeServerToken(SteeredRequest& request,
                        ServerState* server,
                        TimePoint now);
@@ -183,10 +188,11 @@
   void Send(SteeredRequest& request, ServerState* server, TimePoint now);
   void Enqueue(SteeredRequest& request, ServerState* server);
   void Dequeue(SteeredRequest& request);
-  /// Places requests that wait for the server anew.
+  /// Dispatches the requests that wait for the server again.
   void RequeueWaiting(const ServerState& server, TimePoint now);
   void Dispatch(SteeredRequest& request, TimePoint now);
-  /// A send ended without an answer to forward.
+  /// Handles an attempt that ended without a response to forward: retries the
+  /// request, or ends it.
   void RetryOrFail(SteeredRequest& request,
                    AttemptId attempt,
                    AttemptEnd end,
@@ -195,52 +201,56 @@
   void CheckDeadline(SteeredRequest& request, TimePoint now);
   void SendHedge(SteeredRequest& request, TimePoint now);
   void Refuse(SteeredRequest& request, SteerRefusal reason, TimePoint now);
-  /// Until the first of the servers that may serve the request takes requests
-  /// again; zero where one does now, or none will.
+  /// Time until the first server that may serve the request accepts requests
+  /// again; zero if one does now or none will.
   Duration TimeUntilServerAvailable(const SteeredRequest& request,
                                     TimePoint now);
-  /// Gives up all sends; counted as lost where the servers had enough time.
+  /// Cancels all attempts of the request. If `counts_as_lost`, those whose
+  /// servers had enough time are counted as lost.
   void CancelLiveAttempts(SteeredRequest& request,
                           bool counts_as_lost,
                           TimePoint now);
   void Forget(RequestId id);
-  /// Notes the end of a send, and tells where the server's standing changed.
+  /// Records the outcome of an attempt, and reports changes of the server's
+  /// status.
   void CountEnd(ServerState& server,
                 const AttemptReport& report,
                 TimePoint now);
-  /// Tells what a server asks of its callers from now on, for logs, and
-  /// measures the regions anew where it takes no more requests.
+  /// Logs changes of what the server asks of its callers, and measures the
+  /// regions again if it takes no more requests.
   void ApplyNotices(const ServerState& server,
                     const ServerNotices& before,
                     TimePoint now);
-  /// Notes whether the server's failure domain is within reach.
+  /// Records whether the server's failure domain is reachable.
   void CountReachability(const ServerState& server,
                          AttemptEnd end,
                          TimePoint now);
-  /// How far the split of a service may move, so that services stay together.
+  /// Limits on how far the service's split may shift, so that the splits of all
+  /// services stay close to each other.
   MovedAwayBounds ShiftBounds(const SteeredService& moving,
                               TimePoint now) const;
   void UpdateShares(TimePoint now);
 
-  /// Whether this run of the server is the one that is known.
+  /// Whether this run of the server is the known one.
   bool IsListed(const ServerState& server) const;
-  /// Whether a send that this server lost may have ended it.
+  /// Whether the server may have crashed, so that losing an attempt there may
+  /// be due to that.
   bool MayHaveCrashed(const ServerState& server) const;
-  /// Whether a server ended under the request.
+  /// Whether a server crashed under the request.
   bool IsSuspect(const SteeredRequest& request, TimePoint now) const;
   static CrashReport ReportOf(const SteeredRequest& request,
                               const ServerState& server);
-  /// Whether servers that ended under the request forbid to send it on.
+  /// Whether crashes under the request forbid to send it again.
   bool IsResendForbidden(const SteeredRequest& request, TimePoint now) const;
-  /// A server lost the request; it may have ended under it.
+  /// Handles the loss of an attempt; the server may have crashed under it.
   void CountLost(SteeredRequest& request,
                  const ServerState& server,
                  bool server_ended,
                  TimePoint now);
-  /// Asks whether the server that lost the request has ended.
+  /// Checks whether the server that lost the request has crashed.
   void CheckServer(const SteeredRequest& request, const ServerState& server);
   void NoteOwnCrash(const CrashReport& report, TimePoint now);
-  /// Ends all that is under way of the request.
+  /// Ends all requests in progress with this digest.
   void HoldBack(const RequestDigest& digest, TimePoint now);
   void ClearSuspicion(const RequestDigest& digest, TimePoint now);
   void ForgetOldCrashes(TimePoint now);
@@ -257,7 +267,8 @@
   std::map<std::string, std::unique_ptr<SteeredService>> m_services;
   std::map<std::string, std::shared_ptr<ServerState>> m_servers;
   std::unordered_map<NameHash, std::shared_ptr<ServerState>> m_servers_by_hash;
-  /// Servers that told this VM their load since TakeUnsharedLoads was asked.
+  /// Instances of servers that reported their load to this VM since the last
+  /// call of TakeUnsharedLoads.
   std::set<std::string> m_unshared_loads;
   RequestMap m_requests;
   uint64_t m_next_attempt = 1;
@@ -274,7 +285,8 @@
   CrashRegister m_crashes;
   /// By the server's instance.
   std::map<std::string, std::vector<PendingCrashCheck>> m_pending_crash_checks;
-  /// Of this VM, by its name.
+  /// Value in 0..1 derived from the VM's name, so that the VMs remove expired
+  /// crash facts at different times.
   double m_removal_spread = 0;
   TimePoint m_crashes_swept{};
 };
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -1,4 +1,4 @@
-/// @file steering_ends.cc How requests and their sends end.
+/// @file steering_ends.cc Ends of requests and of their attempts.
 
 #include <algorithm>
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// When to come back while nothing is known of the service: a start takes
-/// about this long to read the store.
+/// Retry time while nothing is known of the service: about the time that a
+/// starting VM takes to read the store.
 constexpr Duration kUnknownRetryAfter = milliseconds(300);
 
 }  // namespace
@@ -111,9 +111,9 @@
       }
     }
   }
-  // The server that runs now knows nothing of them, and their connections may
-  // stay silent. Left alone, callers wait until their deadlines for answers
-  // that can no longer come.
+  // The current run knows nothing of these requests, and their connections may
+  // stay silent. Without this, callers would wait until their deadlines for
+  // responses that can no longer arrive.
   AttemptReport lost;
   lost.m_end = AttemptEnd::kLost;
   lost.m_server_ended = true;
@@ -171,8 +171,8 @@
   const bool is_lost_to_region = after.IsLeaving() != before.IsLeaving() ||
                                  after.IsPaused(now) != before.IsPaused(now);
   if (is_lost_to_region) {
-    // Where it was the last one, requests would be refused until regions are
-    // measured next.
+    // If it was the last server, requests would be refused until the next
+    // measurement of the regions.
     UpdateShares(now);
   }
   if (after.WasMalformed() && !before.WasMalformed()) {
@@ -192,7 +192,8 @@
     }
     return;
   }
-  // A send that is lost may have been written into a link that is cut.
+  // A lost request may have been written to a broken link, so it does not prove
+  // that the domain is reachable.
   if (end != AttemptEnd::kLost && breaker.CountReached()) {
     m_sink(StateChanged{"domain_within_reach", domain, 0});
   }
--- a/src/steer/steering_knowledge.cc
+++ b/src/steer/steering_knowledge.cc
@@ -1,4 +1,4 @@
-/// @file steering_knowledge.cc What is known: configuration, servers, fleet.
+/// @file steering_knowledge.cc Updates of configuration, servers and fleet.
 
 #include <algorithm>
 #include <utility>
@@ -15,8 +15,8 @@
   m_table = std::move(table);
   m_index = std::make_unique<RouteIndex>(*m_table);
   m_organisations = std::make_unique<OrganisationIndex>(*m_table);
-  // A waiting request is handled by the newest table, like one that arrives
-  // now; it may have lost its route or key, or gone to another service.
+  // The newest table applies to waiting requests as it does to new ones: their
+  // route or key may be gone, or their service may have changed.
   std::vector<RequestId> waiting;
   std::vector<RequestId> awaiting_token;
   for (const auto& [id, request] : m_requests) {
@@ -60,9 +60,9 @@
   const auto it = m_servers.find(entry.m_instance);
   const auto known = it == m_servers.end() ? nullptr : it->second;
   if (known && StartedBefore(entry, known->Entry())) {
-    // A write of a run that is over, which reached the store late. It says
-    // nothing of the run that serves now; one that called a leaving server
-    // ready would send requests to it.
+    // A late write of a run that has ended. It says nothing about the current
+    // run; applied, it could mark a leaving server as ready and direct requests
+    // to it.
     return ServerChange::kOlderRun;
   }
   const size_t region = RegionOf(entry.m_failure_domain);
@@ -149,8 +149,8 @@
     const bool returns =
         m_picker.IsEvacuated(domain) && !domains.contains(domain);
     if (returns) {
-      // Its servers may have turned cold while nothing was sent to them, and
-      // their entries say so only some time later.
+      // Its servers may have become cold while they got no requests, and their
+      // entries show that only some time later.
       const std::string& service = server->Entry().m_service;
       server->MarkCold(RulesOf(service).m_cold_start, now);
       Service(service).RegionServersOf(*server).NoteStatusChange(server.get());
--- a/src/steer/steering_requests.cc
+++ b/src/steer/steering_requests.cc
@@ -1,4 +1,5 @@
-/// @file steering_requests.cc The way of one request: send, wait, send again.
+/// @file steering_requests.cc Processing of a request: send, queue, retry,
+/// hedge.
 
 #include <algorithm>
 #include <utility>
@@ -10,32 +11,33 @@
 
 namespace {
 
-/// Waiting requests that are looked at in a row without one finding a server;
-/// then the service is taken as full.
+/// Number of consecutive queued requests without an available server after
+/// which the service counts as full.
 constexpr int kMaxQueueMisses = 8;
-/// A second copy goes out once a send takes this many usual latencies. Work on
-/// an object that is not warm takes 3.3, and as long again in a server's queue;
-/// a copy for those would only take slots.
+/// A hedged request is sent once an attempt takes this many usual latencies. A
+/// cache miss takes 3.3, and as long again in a server's queue; a hedge for
+/// those would only occupy slots.
 constexpr int kHedgeLatencyFactor = 8;
-/// A second send with less time left than this, or than half of the usual
-/// latency, would cost a server work that nobody waits for.
+/// With less time left than this, or than half of the usual latency, a retry
+/// would cost a server work for a response that comes too late.
 constexpr Duration kMinRetryTime = milliseconds(50);
-/// Part of the retry ratio that is used. The window of one VM ends at another
-/// moment than that of the sum over all, by a tick of a twentieth.
+/// Fraction of the retry ratio that is used. The window of one VM ends at
+/// another moment than that of the sum over all VMs, by up to a tick of 1/20 of
+/// the window.
 constexpr double kRetryRatioFraction = 0.9;
-/// Part of the retry extra that is used: a VM that restarts has forgotten what
-/// it spent in the window and begins with all of its part again.
+/// Fraction of the retry extra that is used: a restarted VM has forgotten what
+/// it spent within the window and starts again with its full share.
 constexpr double kRetryExtraFraction = 0.45;
-/// Servers that one request tries in all. Each one that is down and not yet
-/// known to be so costs a round trip, or the time limit on opening a
-/// connection.
+/// Servers tried per request. Each one that is down, but not yet known to be,
+/// costs a round trip or a connect timeout.
 constexpr size_t kMaxTriedServers = 5;
 
 }  // namespace
 
 void Steering::Dispatch(SteeredRequest& request, TimePoint now) {
   Choice choice = Choose(request, now);
-  // Those who wait for the same server would have been sent if it had room.
+  // If the server had room, the requests that already wait for it would have
+  // been sent.
   while (choice.m_fastest != nullptr &&
          choice.m_fastest == choice.m_fastest_free) {
     if (TrySend(request, choice.m_fastest, now)) {
@@ -119,10 +121,10 @@
     return false;
   }
   if (request.m_started_sends == 0) {
-    // The budget protects servers from more work than the callers ask for. What
-    // reached none is no work; paid for it, the budget was spent within a
-    // second of a failure domain's loss, and all that met its servers were
-    // refused.
+    // The retry budget protects servers from more work than callers ask for. An
+    // attempt that reached no server caused no work. When such attempts were
+    // charged, the budget was spent within a second of a failure domain's loss,
+    // and all requests for its servers were refused.
     return true;
   }
   const double vms =
@@ -235,7 +237,8 @@
     if (report.m_end == AttemptEnd::kLost) {
       CountLost(request, *server, report.m_server_ended, now);
     }
-    // Held back by what this end tells, it has its answer already.
+    // The request may already have been answered by being held back due to this
+    // outcome.
     const bool is_open = m_requests.contains(id);
     if (is_open && !request.m_awaits_check) {
       RetryOrFail(request, attempt, report.m_end, now);
@@ -337,7 +340,7 @@
     return;
   }
   ServerState* const server = Choose(request, now).m_fastest_free;
-  // A copy is not worth a token that another request may be sent with.
+  // A hedge is not worth a token that another request could be sent with.
   if (server != nullptr && !server->Notices().MostPerSecond()) {
     TrySend(request, server, now);
   }
--- a/src/steer/steering_settings_type.h
+++ b/src/steer/steering_settings_type.h
@@ -1,4 +1,5 @@
-/// @file steering_settings_type.h What one entry VM's decisions are bound by.
+/// @file steering_settings_type.h Location and limits of one entry VM's
+/// decisions.
 
 #ifndef SORRELPLANK_STEER_STEERING_SETTINGS_TYPE_H_
 #define SORRELPLANK_STEER_STEERING_SETTINGS_TYPE_H_
@@ -11,23 +12,24 @@
 
 namespace sorrelplank {
 
-/// Own place, and limits that hold over all entry VMs together.
+/// Location of this VM, and limits that apply to all entry VMs together.
 struct SteeringSettings {
   std::string m_vm;
   std::string m_failure_domain;
   std::string m_region;
   /// Region of each failure domain.
   std::map<std::string, std::string> m_regions;
-  /// Second sends allowed per request of a service, over the window.
+  /// Retries allowed per request of a service within the window.
   double m_retry_ratio = 0;
-  /// Second sends allowed per window beside the ratio.
+  /// Retries allowed per window in addition to the ratio.
   double m_retry_extra = 0;
   Duration m_retry_window = seconds(10);
-  /// A cold server's bound in any second: its own rate x factor + slack.
+  /// Limit on requests to a cold server within any second: the service's rate
+  /// for cold servers x factor + slack.
   double m_cold_factor = 1;
   double m_cold_slack = 0;
-  /// Largest part of a region's requests that may change the region they run
-  /// in between two adjacent windows of 2 s.
+  /// Maximum fraction of a region's requests that may change the region they
+  /// run in between two adjacent windows of 2 s.
   double m_max_shift = 0.15;
   QuotaBounds m_quotas = {};
 };
--- a/src/steer/vm_capacity_type.h
+++ b/src/steer/vm_capacity_type.h
@@ -1,13 +1,13 @@
-/// @file vm_capacity_type.h What an entry VM has to work with.
+/// @file vm_capacity_type.h Processor and network capacity of an entry VM.
 
 #ifndef SORRELPLANK_STEER_VM_CAPACITY_TYPE_H_
 #define SORRELPLANK_STEER_VM_CAPACITY_TYPE_H_
 
 namespace sorrelplank {
 
-/// Zero where it is not known.
+/// Zero means unknown.
 struct VmCapacity {
-  /// Processor, in cores of usual speed.
+  /// Processor capacity in cores of usual speed.
   double m_cores = 0;
   double m_link_mbps = 0;
 };
--- a/src/steer/weighted_round_robin.cc
+++ b/src/steer/weighted_round_robin.cc
@@ -11,11 +11,12 @@
 size_t WeightedRoundRobin::Next(const std::vector<double>& weights) {
   m_credit.resize(weights.size(), 0);
   const double total = std::accumulate(weights.begin(), weights.end(), 0.0);
-  Invariant(total > 0, "a deal needs a part with weight");
+  Invariant(total > 0, "at least one weight is positive");
   size_t best = weights.size();
   for (size_t part = 0; part < weights.size(); ++part) {
     if (weights[part] <= 0) {
-      // Credit from times with weight would come back as a burst.
+      // Credit left from an earlier positive weight would cause a burst when
+      // the weight becomes positive again.
       m_credit[part] = 0;
       continue;
     }
--- a/src/steer/weighted_round_robin.h
+++ b/src/steer/weighted_round_robin.h
@@ -1,4 +1,4 @@
-/// @file weighted_round_robin.h Deals turns in proportion to weights.
+/// @file weighted_round_robin.h Weighted round robin scheduling.
 
 #ifndef SORRELPLANK_STEER_WEIGHTED_ROUND_ROBIN_H_
 #define SORRELPLANK_STEER_WEIGHTED_ROUND_ROBIN_H_
@@ -8,13 +8,14 @@
 
 namespace sorrelplank {
 
-/// Smooth weighted round robin: after any number of turns each part is within
-/// one turn of its share. Drawing at random would be off by several percent
-/// over the few hundred requests that a split is judged by.
+/// Smooth weighted round robin: after any number of turns, each item's count
+/// differs from its weighted share by less than one turn. Random selection
+/// would deviate by several percent over the few hundred requests that a
+/// traffic split is checked over.
 class WeightedRoundRobin {
  public:
-  /// Index of the part whose turn it is. Weights may change between turns; at
-  /// least one must be above zero.
+  /// Index of the item whose turn it is. Weights may change between turns; at
+  /// least one must be positive.
   size_t Next(const std::vector<double>& weights);
 
  private:
--- a/tests/peer_load_estimate_test.cc
+++ b/tests/peer_load_estimate_test.cc
@@ -1,4 +1,5 @@
-/// @file peer_load_estimate_test.cc A server's queue between its reports.
+/// @file peer_load_estimate_test.cc Estimate of a server's queue between its
+/// load reports.
 
 #include <criterion/criterion.h>
 
@@ -29,8 +30,8 @@
   cr_assert_gt(estimate.At(kReported + milliseconds(300), 0, kSlots), 5);
 }
 
-// No report comes any more. The server must not seem full for ever: nobody
-// would send to it and nobody would learn otherwise.
+// No more reports arrive. The server must not seem full forever: it would get
+// no requests, and so no new report.
 Test(PeerLoadEstimate, NoReport_ForLong_ServerSeemsFree) {
   const PeerLoadEstimate estimate = MakeEstimate(milliseconds(500), 10);
   cr_assert_eq(estimate.At(kReported + seconds(2), 0, kSlots), 0);
--- a/tests/steering_fixture.h
+++ b/tests/steering_fixture.h
@@ -1,4 +1,5 @@
-/// @file steering_fixture.h One entry VM's decisions on a few backend servers.
+/// @file steering_fixture.h Fixture: one entry VM's decisions with two backend
+/// servers.
 
 #ifndef SORRELPLANK_TESTS_STEERING_FIXTURE_H_
 #define SORRELPLANK_TESTS_STEERING_FIXTURE_H_
@@ -48,7 +49,8 @@
           .m_home_regions = {}};
 }
 
-/// Two servers with two slots each in the own region, one route of each kind.
+/// Two servers with two slots each in the own region; an idempotent and a
+/// non-idempotent route.
 struct SteeringFixture {
   TimePoint m_now{seconds(100)};
   std::vector<SteerAction> m_actions;
@@ -102,7 +104,7 @@
     return id;
   }
 
-  /// A request that shows a key.
+  /// A request with a client key.
   RequestId ArriveWithKey(const std::string& path,
                           const std::string& key,
                           uint64_t object = 1) {
@@ -111,7 +113,7 @@
     return id;
   }
 
-  /// The same request as all with this digest.
+  /// A retry: all requests with the same digest count as one.
   RequestId ArriveAgain(const std::string& path, const RequestDigest& digest) {
     const RequestId id(m_next++);
     m_steering.Arrived({id, "h", path, 1, seconds(5), digest}, m_now);
@@ -125,7 +127,7 @@
     m_steering.Ended(send.m_request, send.m_attempt, report, m_now);
   }
 
-  /// The server answers, and asks for something.
+  /// Ends the send with a response that carries a server notice.
   void EndWithNotice(const SendToServer& send,
                      AttemptEnd end,
                      const ServerNotice& notice) {
@@ -136,8 +138,8 @@
     m_steering.Ended(send.m_request, send.m_attempt, report, m_now);
   }
 
-  /// Requests on different objects arrive one after the other, 20 ms apart, and
-  /// are answered at once. How many a server got.
+  /// Lets requests on different objects arrive 20 ms apart and answers each at
+  /// once. Returns how many the server got.
   size_t SentTo(const std::string& server, uint64_t requests = 50) {
     size_t sent = 0;
     for (uint64_t object = 0; object < requests; ++object) {
@@ -152,7 +154,7 @@
     return sent;
   }
 
-  /// An object whose requests go to the server first of all.
+  /// An object that ranks the server first.
   uint64_t ObjectOf(const std::string& server) {
     for (uint64_t object = 1; object < 100; ++object) {
       Arrive("/read/x", object);
@@ -165,8 +167,8 @@
     return 0;
   }
 
-  /// Fills both servers by writes on the object, and lets more wait for "a".
-  /// The last send to "a".
+  /// Fills both servers with writes on the object, and queues more for "a".
+  /// Returns the last send to "a".
   SendToServer LetWritesWaitForA(uint64_t object) {
     RouteRule route = MakeRoute("/write/", false);
     route.m_target_latency = seconds(2);
@@ -181,7 +183,7 @@
     return at_a;
   }
 
-  /// The last action of a kind, or nullptr.
+  /// The last action of the given type, or nullptr.
   template <typename Action>
   const Action* Last() const {
     for (auto it = m_actions.rbegin(); it != m_actions.rend(); ++it) {
@@ -201,8 +203,8 @@
     return count;
   }
 
-  /// Lets requests on different objects arrive for a second, 20 ms apart; each
-  /// that is sent is answered at once. How many were sent.
+  /// Lets requests on different objects arrive 20 ms apart for a second and
+  /// answers each sent one at once. Returns how many were sent.
   size_t AnswerForOneSecond(const std::string& path) {
     size_t sent = 0;
     for (uint64_t step = 0; step < 50; ++step) {
--- a/tests/steering_loading_test.cc
+++ b/tests/steering_loading_test.cc
@@ -53,9 +53,9 @@
 
 TestSuite(SteeringLoading, .init = SetUp, .fini = TearDown);
 
-// All entry VMs lost power and start again. Clients connect as soon as a VM
-// listens, some tenths of a second before it has read the store. They see an
-// answer of a server instead of a refusal, and keep their retry.
+// All entry VMs restart after a power loss. Clients connect as soon as a VM
+// listens, some tenths of a second before it has read the store. They must get
+// a server's response instead of a refusal that costs them a retry.
 Test(SteeringLoading, Request_TableComesSoon_IsSent) {
   g_fixture->Arrive(1, "/read/x");
   cr_assert_eq(g_fixture->m_actions.size(), 0);
@@ -65,8 +65,9 @@
   cr_assert_eq(send.m_time_left, Duration(milliseconds(1500)));
 }
 
-// The own region has one server of ten. Held requests begin the split over
-// regions; it must be that of the servers, not all at home.
+// The own region has one server of ten. Held requests start the split over
+// regions; it must follow the servers' capacity instead of starting with all
+// requests in the own region.
 Test(SteeringLoading, Requests_FewServersAtHome_AreSpreadByCapacity) {
   for (uint64_t id = 1; id <= 20; ++id) {
     g_fixture->m_steering.Arrived(
@@ -86,8 +87,8 @@
   cr_assert_geq(far, 8, "%zu", far);
 }
 
-// The store does not answer the VM's first call. Nobody knows for how long, so
-// those who wait are told at once that nothing ran.
+// The store does not answer the VM's first call. It is unknown for how long, so
+// held requests must be refused at once as not run.
 Test(SteeringLoading, Store_GoesAway_HeldAreRefusedAsNotRun) {
   g_fixture->Arrive(1, "/read/x");
   g_fixture->m_steering.SetLoading(false, g_fixture->m_now);
@@ -96,7 +97,7 @@
   cr_assert_eq(g_fixture->Reason(1), SteerRefusal::kNotReady);
 }
 
-// The first read neither ends nor fails.
+// The first read of the store neither completes nor fails.
 Test(SteeringLoading, Table_DoesNotCome_IsRefusedWithinASecond) {
   g_fixture->Arrive(1, "/read/x");
   g_fixture->m_now += milliseconds(1000);
@@ -117,9 +118,9 @@
   cr_assert_eq(g_fixture->Reason(0), SteerRefusal::kNoRoute);
 }
 
-// A VM that starts reads pages that may be seconds old, and learns a moment
-// later what has changed since. A request that comes in between would go to the
-// service that the route had before the last change.
+// A starting VM reads pages that may be seconds old, and receives later changes
+// a moment later. A request that arrives in between must not go to the service
+// that the route had before the last change.
 Test(SteeringLoading, TableMayBeOld_RequestArrives_FollowsTheNewestTable) {
   auto old_table = std::make_shared<RoutingTable>();
   old_table->m_version = 1;
--- a/tests/steering_mix_test.cc
+++ b/tests/steering_mix_test.cc
@@ -1,4 +1,4 @@
-/// @file steering_mix_test.cc Services whose splits over regions stand apart.
+/// @file steering_mix_test.cc Services whose splits over regions differ.
 
 #include <criterion/criterion.h>
 
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr double kMostShift = 0.15;
-/// Requests of one window in these tests.
+/// Requests in one window of these tests.
 constexpr uint64_t kRequests = 400;
 
-/// Two services, each with a third of its slots' fair part in the own region,
-/// so that two thirds of the objects begin elsewhere.
+/// Two services, each with a third of its fair share of slots in the own
+/// region, so that two thirds of the objects start elsewhere.
 struct MixFixture : SteeringFixture {
   MixFixture() {
     RouteRule other = MakeRoute("/other/", true);
@@ -43,7 +43,7 @@
     m_steering.ApplyPeerLoads({{HashName(server), {running, 0, 2}, {}}}, m_now);
   }
 
-  /// Sends a request; whether it ran in the own region.
+  /// Sends a request and answers it; returns whether it ran in the own region.
   bool RunsAtHome(const std::string& path, uint64_t object) {
     Arrive(path, object);
     const SendToServer send = *Last<SendToServer>();
@@ -51,8 +51,8 @@
     return send.m_region == "r1";
   }
 
-  /// The own server of "s" has room; that of "t" has no slot free. A request of
-  /// each service in every step.
+  /// The own region's server of "s" is idle; that of "t" has no free slot. Each
+  /// step sends one request of each service.
   void RunWithRoomAtHome(Duration time) {
     for (Duration step{}; step < time; step += milliseconds(100)) {
       Report("a", 0);
@@ -68,7 +68,8 @@
     }
   }
 
-  /// Part of the requests that run at home if every so many are of "t".
+  /// Fraction of the requests that run in the own region if one in `every` is
+  /// for "t".
   double HomeFraction(uint64_t every) {
     double at_home = 0;
     for (uint64_t request = 0; request < kRequests; ++request) {
@@ -92,10 +93,10 @@
 
 TestSuite(SteeringMix, .init = SetUp, .fini = TearDown);
 
-// One service has room at home and takes all its objects back; the other is
-// full there and leaves its own where they are. When the second one's
-// requests stop, a third of the requests runs in another region from one moment
-// to the next, though no split moves.
+// One service has room in the own region and takes all its objects back; the
+// other is full there and leaves its objects elsewhere. When the requests of
+// the second one stop, a third of all requests would change region from one
+// moment to the next, though no split shifts.
 Test(SteeringMix, OneServiceMovedHome_OtherOnesRequestsStop_StaysInBound) {
   g_fixture->RunWithRoomAtHome(seconds(30));
   const double before = g_fixture->HomeFraction(2);
@@ -104,14 +105,16 @@
                 before, after);
 }
 
-// The other service has all its servers elsewhere, and can never come home.
+// The other service has all its servers elsewhere and can never move home; it
+// must not keep this one away.
 Test(SteeringMix, OtherServiceHasNoServersAtHome_ServiceWithRoom_MovesHome) {
   g_fixture->m_steering.RemoveServer("t-near", g_fixture->m_now);
   g_fixture->RunWithRoomAtHome(seconds(30));
   cr_assert_gt(g_fixture->HomeFraction(kRequests), 0.9);
 }
 
-// The other service was at home from the start: the first one comes nearer.
+// The other service was at home from the start; moving home brings this one
+// closer to it and must be allowed.
 Test(SteeringMix, OtherServiceIsAtHome_ServiceWithRoom_MovesHome) {
   for (int number = 0; number < 5; ++number) {
     g_fixture->m_steering.RemoveServer("t-far-" + std::to_string(number),
@@ -122,7 +125,7 @@
   cr_assert_gt(g_fixture->HomeFraction(kRequests), 0.9);
 }
 
-// Nothing is asked of the other service any more: it holds nobody back.
+// The other service gets no more requests; it must not keep this one away.
 Test(SteeringMix, OtherServiceUnused_ServiceWithRoom_MovesHome) {
   g_fixture->RunWithRoomAtHome(seconds(5));
   for (int step = 0; step < 300; ++step) {
--- a/tests/steering_overload_test.cc
+++ b/tests/steering_overload_test.cc
@@ -1,4 +1,5 @@
-/// @file steering_overload_test.cc Overload that must not feed itself.
+/// @file steering_overload_test.cc Overload must not be amplified by ejecting
+/// servers.
 
 #include <criterion/criterion.h>
 
@@ -12,7 +13,7 @@
 namespace sorrelplank {
 namespace {
 
-/// Requests on one object, so that one server is the first of all.
+/// Requests on one object, so that they prefer the same server.
 struct OverloadFixture : SteeringFixture {
   size_t Ejections() const {
     size_t ejections = 0;
@@ -26,7 +27,7 @@
     return ejections;
   }
 
-  /// One request after the other, each answered after 100 ms.
+  /// Sends one request at a time, each answered after 100 ms.
   void LearnUsualTime() {
     for (int request = 0; request < 20; ++request) {
       Arrive("/write/x");
@@ -48,9 +49,10 @@
 
 TestSuite(SteeringOverload, .init = SetUp, .fini = TearDown);
 
-// A server's queue is long, and requests reach their deadlines in it. The
-// server answers 504 to each. Taken for failures, two of them sent its objects
-// to a server that was not warm for them, which then fell behind in turn.
+// A server's queue is long, and it answers 504 to requests that reach their
+// deadlines there. Counted as failures, two of them ejected the server and sent
+// its objects to one that did not have them cached, which then fell behind in
+// turn.
 Test(SteeringOverload, ServersOwn504AtTheDeadline_Server_IsNotEjected) {
   for (int request = 0; request < 6; ++request) {
     g_fixture->Arrive("/write/x");
@@ -78,7 +80,7 @@
   cr_assert_eq(JudgeReply(reply, names).m_end, AttemptEnd::kDeadlineExceeded);
 }
 
-// The same where this VM ends the requests at their routes' timeouts.
+// The same if this VM ends the requests at their routes' timeouts.
 Test(SteeringOverload, TimeoutsBehindALongQueue_Server_IsNotEjected) {
   g_fixture->LearnUsualTime();
   RouteRule route = MakeRoute("/write/", false);
@@ -93,7 +95,7 @@
   cr_assert_eq(g_fixture->Ejections(), 0);
 }
 
-// A server that has nothing else to do takes requests and answers none.
+// A server without other load accepts requests and answers none.
 Test(SteeringOverload, TimeoutsAtAnIdleServer_Server_IsEjected) {
   g_fixture->LearnUsualTime();
   for (int request = 0; request < 3; ++request) {
--- a/tests/steering_restart_test.cc
+++ b/tests/steering_restart_test.cc
@@ -1,4 +1,4 @@
-/// @file steering_restart_test.cc Backend servers that start again under their
+/// @file steering_restart_test.cc Backend servers that restart under the same
 /// id.
 
 #include <criterion/criterion.h>
@@ -26,7 +26,7 @@
     return m_steering.PutServer(Entry(start), m_now);
   }
 
-  /// An object whose requests go to "a" first of all.
+  /// An object that ranks "a" first.
   uint64_t ObjectOfA() {
     for (uint64_t object = 1; object < 100; ++object) {
       Arrive("/read/x", object);
@@ -36,7 +36,7 @@
         return object;
       }
     }
-    cr_assert_fail("no object has a as its first server");
+    cr_assert_fail("no object ranks server a first");
     return 0;
   }
 
@@ -67,10 +67,9 @@
   cr_assert_eq(g_fixture->m_steering.ServerCount(), 2);
 }
 
-// A server crashes and starts again under its id. The new run knows nothing of
-// the requests of the old one. Their connections may stay silent, so that the
-// callers would see nothing until their deadlines; a read can go to another
-// server at once instead.
+// A server crashes and restarts under its id. The new run knows nothing of the
+// old run's requests, and their connections may stay silent, so that callers
+// would wait until their deadlines. A read must go to another server at once.
 Test(SteeringRestart, ReadUnderWay_ServerStartsAgain_GoesElsewhereAtOnce) {
   const SendToServer lost = g_fixture->SendToA("/read/x");
   g_fixture->PutRun(kSecondStart);
@@ -81,7 +80,7 @@
   cr_assert_str_eq(again.m_instance.c_str(), "b");
 }
 
-// A write may have run before the crash: its caller is told so at once.
+// A write may have run before the crash; its caller must be told so at once.
 Test(SteeringRestart, WriteUnderWay_ServerStartsAgain_MayHaveRun) {
   g_fixture->SendToA("/write/x");
   g_fixture->PutRun(kSecondStart);
@@ -89,7 +88,7 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kLost);
 }
 
-// The old run failed until it was left alone. The new one has failed nothing.
+// The old run was ejected after failures. The new run must not inherit that.
 Test(SteeringRestart, EjectedServer_StartsAgain_IsUsedAgain) {
   const uint64_t object = g_fixture->ObjectOfA();
   for (int failure = 0; failure < 3; ++failure) {
@@ -103,8 +102,8 @@
   cr_assert_str_eq(g_fixture->Last<SendToServer>()->m_instance.c_str(), "a");
 }
 
-// Its address was another server's for a while, which said so; after its next
-// start it is itself again.
+// Another server reported that it has the address. After its next start the
+// server has the address again.
 Test(SteeringRestart, GoneServer_StartsAgain_IsUsedAgain) {
   const uint64_t object = g_fixture->ObjectOfA();
   g_fixture->Arrive("/write/x", object);
@@ -114,9 +113,8 @@
   cr_assert_str_eq(g_fixture->Last<SendToServer>()->m_instance.c_str(), "a");
 }
 
-// A write of the old run reaches the store late, after the new run's entry. It
-// says nothing about the server that runs now; taken at its word, requests
-// would go to a server that is leaving.
+// A late write of the old run reaches the store after the new run's entry. If
+// it were applied, requests would go to a leaving server.
 Test(SteeringRestart, EntryOfOlderRun_ComesLate_IsIgnored) {
   ServerEntry leaving = g_fixture->Entry(kSecondStart);
   leaving.m_leaving = true;
@@ -130,8 +128,9 @@
   }
 }
 
-// The new run is full of other VMs' requests by a report that is older than
-// its start: that report was the old run's.
+// A load report shared by another VM says that the server is full of other VMs'
+// requests, but it is older than the new run's start, so it belongs to the old
+// run.
 Test(SteeringRestart, ReportOfOlderRun_ToldLate_IsIgnored) {
   const uint64_t object = g_fixture->ObjectOfA();
   g_fixture->Pass(seconds(1));
@@ -142,8 +141,8 @@
   cr_assert_str_eq(g_fixture->Last<SendToServer>()->m_instance.c_str(), "a");
 }
 
-// A server comes back under its id as one of another service. Left in the list
-// of the old one, it was sent requests that it must not run.
+// A server restarts under its id with another service. Left in the list of the
+// old service, it got requests that it must not run.
 Test(SteeringRestart, OtherServiceUnderTheId_RequestsOfTheOldOne_GoElsewhere) {
   ServerEntry other = g_fixture->Entry(kSecondStart);
   other.m_service = "t";
--- a/tests/steering_test.cc
+++ b/tests/steering_test.cc
@@ -1,4 +1,4 @@
-/// @file steering_test.cc The decisions on one request.
+/// @file steering_test.cc Decisions on single requests.
 
 #include <criterion/criterion.h>
 
@@ -28,7 +28,7 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kNoRoute);
 }
 
-// All parts of a split weigh nothing. The request is served all the same.
+// All weights of a split are zero. The request must still be served.
 Test(Steering, Split_AllWeightsZero_IsStillServed) {
   RouteRule route = MakeRoute("/read/", true);
   route.m_shares = {{"s", 0}, {"s", 0}};
@@ -46,9 +46,9 @@
                    first.c_str());
 }
 
-// Overload: the two slots of a server are taken. The next request is sent all
-// the same, so that the slot that comes free first is not idle for the time of
-// two ways; the one behind it waits here, where it can still go elsewhere.
+// Overload: both slots of a server are taken. One more request is sent, so that
+// the slot that is freed first is not idle for a round trip; the next one waits
+// at the VM, where it can still go to another server.
 Test(Steering, ServerFull_TwoMore_OneIsSentAndOneWaits) {
   for (int request = 0; request < 4; ++request) {
     g_fixture->Arrive("/read/x", 5);
@@ -57,9 +57,10 @@
   cr_assert_eq(g_fixture->m_steering.WaitingCount(), 1);
 }
 
-// Requests on other objects fill a server. One on an object that this VM has
-// not met yet arrives: other VMs have, at that same server, which is warm for
-// it. A short wait there beats 3.3 times the work at the other one.
+// Requests on other objects fill a server. A request arrives for an object that
+// this VM has not sent there yet, but other VMs have, so the server has it
+// cached. A short wait there is better than 3.3 times the work at the other
+// server.
 Test(Steering, NewObject_FirstServerBusy_WaitsForIt) {
   uint64_t object = 0;
   while (g_fixture->m_steering.WaitingCount() == 0 && object < 20) {
@@ -72,11 +73,13 @@
     }
   }
   cr_assert_eq(sends.size(), 2);
-  cr_assert(sends["a"] < 2 || sends["b"] < 2, "the other one has a free slot");
+  cr_assert(sends["a"] < 2 || sends["b"] < 2,
+            "the other server has a free slot");
 }
 
-// The server takes a request that must run at most once, and the connection
-// breaks. The caller is told that it may have run; it is not sent again.
+// The connection breaks after the server has received a request that must run
+// at most once. The caller must be told that it may have run; it must not be
+// sent again.
 Test(Steering, Write_ConnectionBroke_IsNotSentAgain) {
   g_fixture->Arrive("/write/x");
   g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kLost);
@@ -93,8 +96,8 @@
                     first.c_str());
 }
 
-// Both servers reject it: it certainly did not run, and the caller is told so
-// with a time to come back.
+// Both servers reject the request, so it certainly did not run; the caller must
+// be told so, with a retry time.
 Test(Steering, Write_RejectedTwice_IsRefusedAsNotRun) {
   g_fixture->Arrive("/write/x");
   g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kRejected);
@@ -104,8 +107,8 @@
   cr_assert_gt(g_fixture->Last<RefuseRequest>()->m_retry_after.count(), 0);
 }
 
-// The first send is lost and the second one is rejected. The rejection tells
-// nothing of the first: the caller must not read "not run".
+// The first send is lost and the second one rejected. The rejection says
+// nothing about the first, so the caller must not be told "not run".
 Test(Steering, Read_LostThenRejected_MayHaveRun) {
   g_fixture->Arrive("/read/x");
   g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kLost);
@@ -126,9 +129,9 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kTimedOut);
 }
 
-// The server gives up at the deadline and says so. Sending the request to
-// another server would cost that one a slot for an answer that is late for
-// certain; the caller gets what there is.
+// The server gives up at the deadline and reports it. A retry would occupy a
+// slot of another server for a response that is certainly late, so the caller
+// gets this one.
 Test(Steering, Read_ErrorAtTheDeadline_IsNotSentAgain) {
   g_fixture->Arrive("/read/x");
   const SendToServer send = *g_fixture->Last<SendToServer>();
@@ -165,9 +168,9 @@
   }
 }
 
-// Both servers of the region stall at once, as when every object is met for
-// the first time. Nothing says that they are gone; refusing everything, or
-// moving the whole region elsewhere, would be worse than sending on.
+// Both servers of the region fail at once, as when no object is cached yet.
+// Nothing proves that they are down; refusing all requests, or moving the whole
+// region elsewhere, would be worse than sending on.
 Test(Steering, AllServersEjected_RequestArrives_IsStillSent) {
   for (int round = 0; round < 4; ++round) {
     g_fixture->Arrive("/read/x");
@@ -179,9 +182,9 @@
   cr_assert_eq(g_fixture->Count<SendToServer>(), before + 1);
 }
 
-// A server has just started and bears 4 requests a second; the bound over all
-// entry VMs is 4 x 1.5 + 5 = 11 in any second. This VM sends less than half,
-// as another one may take itself for the sender.
+// A recently started server takes 4 requests per second; the limit over all
+// entry VMs is 4 x 1.5 + 5 = 11 within any second. This VM must send less than
+// half of it, as another one may consider itself the sender too.
 Test(Steering, ColdServer_ManyRequests_GetsLessThanHalfOfTheBound) {
   g_fixture->m_steering.RemoveServer("b", g_fixture->m_now);
   g_fixture->PutServer("a", "d1", false, seconds(3));
@@ -190,9 +193,9 @@
   cr_assert_leq(sent, 5);
 }
 
-// Every server rejects what it gets, and the process is restarted in between:
-// it has forgotten what it spent. The servers count second sends of both lives
-// in one window; they must stay within the ratio and the extra.
+// Every server rejects its requests, and the process restarts in between and
+// forgets what it spent. The servers count the retries of both runs in one
+// window; they must stay within the ratio and the extra.
 Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheWhole) {
   const size_t requests = 100;
   size_t resends = 0;
@@ -213,9 +216,9 @@
   cr_assert_leq(resends, requests / 5 + 10, "%zu", resends);
 }
 
-// The process is about to exit. A client that still holds a connection sends a
-// request; it is told at once that it did not run, and comes back elsewhere.
-// What runs already is finished.
+// The process is about to exit. A new request on an open connection must be
+// refused as not run, so that the client can retry elsewhere. Requests in
+// flight are finished.
 Test(Steering, Stopping_NewRequest_IsRefusedAsNotRun) {
   g_fixture->Arrive("/write/x");
   g_fixture->m_steering.RefuseNew();
@@ -226,10 +229,10 @@
   cr_assert_eq(g_fixture->Count<ForwardServerAnswer>(), 1);
 }
 
-// The VM is cut off from the store. A domain is evacuated and its servers turn
-// cold, which it cannot know; it goes on sending to them. Together with the VM
-// that sends to cold servers, and with others that are cut off, it must stay
-// under the bound of 11 in any second.
+// The VM cannot reach the store. A domain is evacuated and its servers become
+// cold, which the VM cannot know, so it keeps sending to them. Together with
+// the VM that sends to cold servers, and with others that have stale data, it
+// must stay below the limit of 11 within any second.
 Test(Steering, CutOff_ManyRequests_EachServerGetsAPartOfTheColdBound) {
   g_fixture->m_steering.RemoveServer("b", g_fixture->m_now);
   g_fixture->m_steering.SetFleet({{"vm-1", "10.0.0.1:80", "d1", "r1"},
@@ -243,8 +246,8 @@
   cr_assert_leq(sent, 2);
 }
 
-// A request waits for a slot while the operators take its route away. It is
-// answered by the new table, like one that arrives now.
+// A request waits for a slot while operators remove its route. The new table
+// must apply to it as to a new request.
 Test(Steering, Waiting_RouteRemoved_Is404) {
   for (uint64_t request = 0; request < 5; ++request) {
     g_fixture->Arrive("/read/x", 1);
@@ -255,9 +258,9 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kNoRoute);
 }
 
-// Far more requests than slots arrive at once. A few wait, so that they are
-// answered within the target; the rest is refused at once, with different
-// times to come back.
+// Far more requests than slots arrive at once. Some wait, so that they are
+// answered within the target latency; the others must be refused at once with
+// different retry times.
 Test(Steering, Overload_AtOnce_RefusesWithSpreadRetryTimes) {
   std::set<int64_t> retry_times;
   g_fixture->Arrive("/read/x");
--- a/tests/steering_unsent_test.cc
+++ b/tests/steering_unsent_test.cc
@@ -22,10 +22,10 @@
 
 TestSuite(SteeringUnsent, .init = SetUp, .fini = TearDown);
 
-// All servers of a failure domain have lost power. Every request that belongs
-// to one of them finds its connection refused, and goes to a living server.
-// What reached no server spends nothing of the retry budget; so nearly all
-// callers see answers, though far more sends fail than the budget allows.
+// All servers of a failure domain lost power. Requests for them get their
+// connections refused and go to servers that are up. Sends that reach no server
+// are not charged to the retry budget, so nearly all callers get responses
+// although far more sends fail than the budget allows.
 Test(SteeringUnsent, Domain_RefusesConnections_RequestsAreServedElsewhere) {
   for (int server = 0; server < 40; ++server) {
     g_fixture->PutServer("down" + std::to_string(server), "d1");
@@ -47,9 +47,9 @@
   cr_assert_geq(g_fixture->Count<ForwardServerAnswer>(), requests * 19 / 20);
 }
 
-// The first server refuses the connection, the second one rejects the request,
-// which was its first arrival anywhere. A route that allows two servers allows
-// one more.
+// The first server refuses the connection, and the second one, the first to
+// receive the request, rejects it. A route that allows two sends allows one
+// more.
 Test(SteeringUnsent, Unsent_ThenRejected_GoesToAThirdServer) {
   g_fixture->PutServer("c", "d1");
   g_fixture->Arrive("/write/x");
@@ -58,9 +58,9 @@
   cr_assert_eq(g_fixture->Count<SendToServer>(), 3);
 }
 
-// A refused connection says that nobody listens there. The server gets nothing
-// for a while after the first one; trying it again with each request would add
-// a round trip to each.
+// A refused connection means that nothing listens there. The server must be
+// ejected after the first one; trying it with every request would add a round
+// trip to each.
 Test(SteeringUnsent, Server_RefusedOnce_IsEjectedAtOnce) {
   g_fixture->Arrive("/read/x", 5);
   const std::string first = g_fixture->Last<SendToServer>()->m_instance;
@@ -71,8 +71,8 @@
                     first.c_str());
 }
 
-// Every server refuses. The tries end, and the caller is told at once that the
-// request did not run.
+// Every server refuses connections. The retries must end, and the caller is
+// told at once that the request did not run.
 Test(SteeringUnsent, AllServers_RefuseConnections_IsRefusedAsNotRun) {
   for (const char* name : {"c", "d", "e", "f", "g", "h", "i"}) {
     g_fixture->PutServer(name, "d1");
--- a/tests/steering_work_test.cc
+++ b/tests/steering_work_test.cc
@@ -1,4 +1,4 @@
-/// @file steering_work_test.cc What decisions look at as the fleet grows.
+/// @file steering_work_test.cc Cost of decisions as the fleet grows.
 
 #include <criterion/criterion.h>
 
@@ -19,7 +19,8 @@
 constexpr size_t kFewServers = 300;
 constexpr uint64_t kObjects = 20;
 
-/// Decisions of one VM among so many servers, of which it hears from a few.
+/// Decisions of one VM with the given number of servers, few of which report
+/// their load.
 struct WorkFixture {
   SteeringFixture m_vm;
 
@@ -74,7 +75,7 @@
 
 TestSuite(SteeringWork);
 
-// Guards against ticks that look at every server of a large fleet.
+// Guards against ticks that examine every server of a large fleet.
 Test(SteeringWork, Ticks_ServersGrowFourfold_ExamineNoMore) {
   const uint64_t few = WorkFixture(kFewServers).ServersExaminedByTicks();
   cr_expect_eq(WorkFixture(2 * kFewServers).ServersExaminedByTicks(), few);
@@ -89,8 +90,8 @@
   cr_expect_leq(WorkFixture(4 * kFewServers).ServersExaminedByRequests(), few);
 }
 
-// Guards against an order that differs from a fresh ranking after servers came
-// and went: two VMs would then send an object to different servers.
+// Guards against an incrementally updated ranking that differs from a new one:
+// two VMs would then send an object to different servers.
 Test(SteeringWork, ObjectRanking_ServersComeAndGo_EqualsAFreshRanking) {
   std::mt19937 random(7);
   ObjectRanking kept;
@@ -119,8 +120,8 @@
   }
 }
 
-// Guards against weighing every VM of the fleet for each cold server, and
-// against doing so anew when a VM far away restarts.
+// Guards against computing weights of all the fleet's VMs for each cold server,
+// and against computing them again when a VM of another domain restarts.
 Test(SteeringWork, ColdServers_FleetGrows_OnlyTheirDomainIsWeighed) {
   for (const size_t domains : {3U, 6U, 12U}) {
     ColdServerAssignment senders(MakeRegions(domains), "vm-0");
@@ -141,7 +142,7 @@
   }
 }
 
-// Guards against a cold server that two VMs send to, or none.
+// Guards against a cold server with two senders or none.
 Test(SteeringWork, ColdServers_DomainWithAndWithoutVms_HaveOneSender) {
   const auto fleet = MakeFleet(20, 4);
   auto regions = MakeRegions(4);
