--- a/src/proxy/edge_settings.cc
+++ b/src/proxy/edge_settings.cc
@@ -140,7 +140,7 @@
       .m_retry_window = reader.Seconds("retry_window_s", kMaxSeconds),
       .m_cold_factor = reader.Number("cold_factor", 0, kMaxCount),
       .m_cold_slack = reader.Number("cold_slack", 0, kMaxCount),
-      .m_most_shift = reader.Number("most_shift", 0, 1),
+      .m_max_shift = reader.Number("most_shift", 0, 1),
       .m_quotas = ReadQuotas(reader),
   };
 }
--- a/src/proxy/reply_classifier.cc
+++ b/src/proxy/reply_classifier.cc
@@ -32,7 +32,7 @@
     return AttemptEnd::kLost;
   }
   if (answer.m_status == kHttpGatewayTimeout) {
-    return AttemptEnd::kOutOfTime;
+    return AttemptEnd::kDeadlineExceeded;
   }
   return answer.m_status >= 500 ? AttemptEnd::kServerError
                                 : AttemptEnd::kAnswered;
--- a/src/proxy/request_proxy.cc
+++ b/src/proxy/request_proxy.cc
@@ -174,7 +174,7 @@
       fmt::format("{} {} HTTP/1.1\r\n", request.m_method, request.m_target);
   for (const auto& [name, value] : request.m_headers) {
     const bool is_hidden =
-        action.m_keeps_key && IsCallerIdentityField(name, m_names);
+        action.m_strips_key && IsCallerIdentityField(name, m_names);
     if (IsForwardedField(name, m_names) && !is_hidden) {
       bytes += fmt::format("{}: {}\r\n", name, value);
     }
@@ -221,7 +221,7 @@
   const SendTarget target{.m_instance = action.m_instance,
                           .m_address = action.m_address,
                           .m_is_idempotent = action.m_idempotent,
-                          .m_max_idle = action.m_most_kept};
+                          .m_max_idle = action.m_max_idle_connections};
   m_pool.Send(action.m_attempt, target, std::move(send),
               [this, request = action.m_request,
                attempt = action.m_attempt](ServerReply reply) {
@@ -287,9 +287,9 @@
                {"waited_ms", LogMs(action.m_waited)},
                {"sends", int64_t{action.m_sends}},
                {"passed_over", int64_t{action.m_passed_over}},
-               {"line", static_cast<int64_t>(action.m_line.m_ahead)},
-               {"ends_per_second", action.m_line.m_ends_per_second},
-               {"usual_ms", LogMs(action.m_line.m_usual_latency)},
+               {"line", static_cast<int64_t>(action.m_queue.m_ahead)},
+               {"ends_per_second", action.m_queue.m_completions_per_second},
+               {"usual_ms", LogMs(action.m_queue.m_usual_latency)},
                {"retry_after_s", retry_after},
                {"config", static_cast<int64_t>(action.m_table_version)}});
   HttpResponse response;
@@ -308,12 +308,12 @@
   Respond(action.m_request, std::move(response), row.m_name);
 }
 
-void RequestProxy::Handle(const BeliefChanged& action) {
-  m_log.Write(action.m_what,
+void RequestProxy::Handle(const StateChanged& action) {
+  m_log.Write(action.m_event,
               {{"subject", action.m_subject}, {"value", action.m_value}});
 }
 
-void RequestProxy::Handle(const SplitMoved& action) {
+void RequestProxy::Handle(const RegionSplitChanged& action) {
   m_log.Write("own_region_share",
               {{"service", action.m_service},
                {"share", action.m_own_share},
@@ -326,7 +326,7 @@
   m_pool.CloseIdle(action.m_instance);
 }
 
-void RequestProxy::Handle(const CheckServerReach& action) {
+void RequestProxy::Handle(const CheckServerReachable& action) {
   m_pool.ProbeServer(action.m_address, [this, instance = action.m_instance](
                                            ServerReach reach) {
     m_log.Write("server_checked",
--- a/src/proxy/request_proxy.h
+++ b/src/proxy/request_proxy.h
@@ -83,10 +83,10 @@
   void Handle(const CancelSend& action);
   void Handle(const ForwardServerAnswer& action);
   void Handle(const RefuseRequest& action);
-  void Handle(const BeliefChanged& action);
-  void Handle(const SplitMoved& action);
+  void Handle(const StateChanged& action);
+  void Handle(const RegionSplitChanged& action);
   void Handle(const ServerRestarted& action);
-  void Handle(const CheckServerReach& action);
+  void Handle(const CheckServerReachable& action);
   void Handle(const RequestSuspected& action);
   void Handle(const RequestHeld& action);
   void Handle(const HoldEnded& action);
--- a/src/steer/even_dealer.cc
+++ b/src/steer/weighted_round_robin.cc
@@ -1,6 +1,6 @@
-/// @file even_dealer.cc Smooth weighted round robin.
+/// @file weighted_round_robin.cc Smooth weighted round robin.
 
-#include "steer/even_dealer.h"
+#include "steer/weighted_round_robin.h"
 
 #include <numeric>
 
@@ -8,14 +8,15 @@
 
 namespace sorrelplank {
 
-size_t EvenDealer::Next(const std::vector<double>& weights) {
+size_t WeightedRoundRobin::Next(const std::vector<double>& weights) {
   m_credit.resize(weights.size(), 0);
   const double total = std::accumulate(weights.begin(), weights.end(), 0.0);
-  Invariant(total > 0, "a deal needs a part with weight");
+  Invariant(total > 0, "at least one weight is positive");
   size_t best = weights.size();
   for (size_t part = 0; part < weights.size(); ++part) {
     if (weights[part] <= 0) {
-      // Credit from times with weight would come back as a burst.
+      // Credit left from an earlier positive weight would cause a burst when
+      // the weight becomes positive again.
       m_credit[part] = 0;
       continue;
     }
--- a/tests/steering_overload_test.cc
+++ b/tests/steering_overload_test.cc
@@ -1,4 +1,5 @@
-/// @file steering_overload_test.cc Overload that must not feed itself.
+/// @file steering_overload_test.cc Overload must not be amplified by ejecting
+/// servers.
 
 #include <criterion/criterion.h>
 
@@ -12,21 +13,21 @@
 namespace sorrelplank {
 namespace {
 
-/// Requests on one object, so that one server is the first of all.
+/// Requests on one object, so that they prefer the same server.
 struct OverloadFixture : SteeringFixture {
-  size_t Rests() const {
-    size_t rests = 0;
+  size_t Ejections() const {
+    size_t ejections = 0;
     for (const SteerAction& action : m_actions) {
-      const auto* belief = std::get_if<BeliefChanged>(&action);
-      rests +=
-          belief != nullptr && std::string(belief->m_what) == "server_rests"
+      const auto* change = std::get_if<StateChanged>(&action);
+      ejections +=
+          change != nullptr && std::string(change->m_event) == "server_rests"
               ? 1
               : 0;
     }
-    return rests;
+    return ejections;
   }
 
-  /// One request after the other, each answered after 100 ms.
+  /// Sends one request at a time, each answered after 100 ms.
   void LearnUsualTime() {
     for (int request = 0; request < 20; ++request) {
       Arrive("/write/x");
@@ -48,37 +49,40 @@
 
 TestSuite(SteeringOverload, .init = SetUp, .fini = TearDown);
 
-// A server's queue is long, and requests reach their deadlines in it. The
-// server answers 504 to each. Taken for failures, two of them sent its objects
-// to a server that was not warm for them, which then fell behind in turn.
-Test(SteeringOverload, ServersOwn504AtTheDeadline_Server_DoesNotRest) {
+// A server's queue is long, and it answers 504 to requests that reach their
+// deadlines there. Counted as failures, two of them ejected the server and sent
+// its objects to one that did not have them cached, which then fell behind in
+// turn.
+Test(SteeringOverload, ServersOwn504AtTheDeadline_Server_IsNotEjected) {
   for (int request = 0; request < 6; ++request) {
     g_fixture->Arrive("/write/x");
-    g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kOutOfTime);
+    g_fixture->End(*g_fixture->Last<SendToServer>(),
+                   AttemptEnd::kDeadlineExceeded);
   }
-  cr_assert_eq(g_fixture->Rests(), 0);
+  cr_assert_eq(g_fixture->Ejections(), 0);
 }
 
-Test(SteeringOverload, OtherErrorsOfAServer_Server_Rests) {
+Test(SteeringOverload, OtherErrorsOfAServer_Server_IsEjected) {
   for (int request = 0; request < 6; ++request) {
     g_fixture->Arrive("/write/x");
     g_fixture->End(*g_fixture->Last<SendToServer>(), AttemptEnd::kServerError);
   }
-  cr_assert_gt(g_fixture->Rests(), 0);
+  cr_assert_gt(g_fixture->Ejections(), 0);
 }
 
-Test(SteeringOverload, Answer504OfAServer_Judged_IsOutOfTime) {
+Test(SteeringOverload, Response504OfAServer_Classified_IsDeadlineExceeded) {
   ProxyHeaderNames names;
   names.m_stamp = "stamp";
   ServerReply reply;
   reply.m_end = ReplyEnd::kComplete;
   reply.m_response.m_status = 504;
   reply.m_response.m_headers = {{"stamp", "s"}};
-  cr_assert_eq(ClassifyReply(reply, names).m_end, AttemptEnd::kOutOfTime);
+  cr_assert_eq(ClassifyReply(reply, names).m_end,
+               AttemptEnd::kDeadlineExceeded);
 }
 
-// The same where this VM ends the requests at their routes' timeouts.
-Test(SteeringOverload, TimeoutsBehindALongQueue_Server_DoesNotRest) {
+// The same if this VM ends the requests at their routes' timeouts.
+Test(SteeringOverload, TimeoutsBehindALongQueue_Server_IsNotEjected) {
   g_fixture->LearnUsualTime();
   RouteRule route = MakeRoute("/write/", false);
   route.m_timeout = milliseconds(300);
@@ -89,17 +93,17 @@
     }
     g_fixture->Pass(milliseconds(400));
   }
-  cr_assert_eq(g_fixture->Rests(), 0);
+  cr_assert_eq(g_fixture->Ejections(), 0);
 }
 
-// A server that has nothing else to do takes requests and answers none.
-Test(SteeringOverload, TimeoutsAtAnIdleServer_Server_Rests) {
+// A server without other load accepts requests and answers none.
+Test(SteeringOverload, TimeoutsAtAnIdleServer_Server_IsEjected) {
   g_fixture->LearnUsualTime();
   for (int request = 0; request < 3; ++request) {
     g_fixture->Arrive("/write/x");
     g_fixture->Pass(seconds(2) + milliseconds(20));
   }
-  cr_assert_gt(g_fixture->Rests(), 0);
+  cr_assert_gt(g_fixture->Ejections(), 0);
 }
 
 }  // namespace
