--- a/src/serve/call_gateway.cc
+++ b/src/serve/call_gateway.cc
@@ -1,4 +1,4 @@
-/// @file call_gateway.cc Accept, dispatch, answer.
+/// @file call_gateway.cc Accepts requests, dispatches them and responds.
 
 #include "serve/call_gateway.h"
 
@@ -9,9 +9,9 @@
 #include "net/http_client.h"
 #include "net/peer_convert_func.h"
 #include "proto/peer.pb.h"
-#include "serve/attempt_end_func.h"
 #include "serve/call_headers_type.h"
 #include "serve/call_parse_func.h"
+#include "serve/classify_attempt_func.h"
 #include "serve/clock_func.h"
 #include "serve/error_response_func.h"
 #include "serve/metrics_export.h"
@@ -20,7 +20,8 @@
 
 namespace {
 
-/// Beyond the core's own deadline, so that the core always decides first.
+/// Added to transport timeouts, so that the core's own deadline for the
+/// request always expires first.
 constexpr Duration kTimeoutSlack = milliseconds(200);
 constexpr Duration kBackendConnectTimeout = milliseconds(300);
 constexpr Duration kSeenTimeout = milliseconds(300);
@@ -40,9 +41,9 @@
       m_http(http),
       m_peers(peers),
       m_metrics(metrics),
-      m_answers(kept_answer_bytes),
-      m_is_cut([](uint32_t) { return false; }) {
-  m_driver.AddSink([this](const Action& action) { Take(action); });
+      m_kept_responses(kept_answer_bytes),
+      m_is_cut_off([](uint32_t) { return false; }) {
+  m_driver.AddSink([this](const Action& action) { HandleAction(action); });
 }
 
 void CallGateway::AcceptCall(HttpRequest request, HttpReply reply) {
@@ -69,7 +70,7 @@
   pending.m_request_id = FormatRequestId(m_driver.Core().Identity(), id);
   pending.m_service_name = std::move(parsed.m_service_name);
   pending.m_service = parsed.m_call.m_service;
-  pending.m_keeps_answer = parsed.m_call.m_key != KeyHash();
+  pending.m_keeps_response = parsed.m_call.m_key != KeyHash();
   pending.m_arrived = SteadyNow();
   m_by_connection.emplace(request.m_connection, id);
   m_pending.emplace(id, std::move(pending));
@@ -148,7 +149,7 @@
   const KeyRecord record = m_driver.Core().AskKey(KeyHash(request.key()),
                                                   request.send(), SteadyNow());
   reply.set_answer(static_cast<uint32_t>(record.m_state));
-  const HttpResponse* kept = m_answers.Find(record.m_request);
+  const HttpResponse* kept = m_kept_responses.Find(record.m_request);
   if (record.m_state == KeyState::kRan && kept != nullptr) {
     reply.set_status(static_cast<uint32_t>(kept->m_status));
     reply.set_content_type(kept->m_content_type);
@@ -157,23 +158,23 @@
   return reply;
 }
 
-void CallGateway::Take(const Action& action) {
+void CallGateway::HandleAction(const Action& action) {
   std::visit(
       [this](const auto& specific) {
-        if constexpr (requires { this->Run(specific); }) {
-          Run(specific);
+        if constexpr (requires { this->Execute(specific); }) {
+          Execute(specific);
         }
       },
       action);
 }
 
-void CallGateway::Run(const DispatchToBackend& action) {
+void CallGateway::Execute(const DispatchToBackend& action) {
   PendingCall& pending = m_pending.at(action.m_request);
   const Snapshot& config = *m_driver.Core().Config();
   const auto id = config.FindBackend(action.m_backend);
   const BackendServer& backend = config.Get(*id);
   m_attempts[action.m_attempt] = action.m_request;
-  if (m_is_cut(ParseIp(backend.m_ip))) {
+  if (m_is_cut_off(ParseIp(backend.m_ip))) {
     m_driver.Feed(
         AttemptEnded{action.m_attempt, AttemptOutcome::kConnectFailed, {}, {}});
     m_attempts.erase(action.m_attempt);
@@ -195,8 +196,8 @@
   fetch.m_body = pending.m_body;
   fetch.m_timeout = action.m_time_left + kTimeoutSlack;
   fetch.m_connect_timeout = kBackendConnectTimeout;
-  // libcurl repeats a request on a dead kept connection by itself, which would
-  // run a non-idempotent one twice.
+  // libcurl by itself repeats a request if a reused connection turns out to be
+  // dead, which could run a non-idempotent request twice.
   fetch.m_fresh_connection = !action.m_idempotent;
   pending.m_fetch = m_http.Start(
       std::move(fetch), [this, request = action.m_request,
@@ -205,7 +206,7 @@
       });
 }
 
-void CallGateway::Run(const HandOnToVm& action) {
+void CallGateway::Execute(const HandOnToVm& action) {
   PendingCall& pending = m_pending.at(action.m_request);
   m_attempts[action.m_attempt] = action.m_request;
   proto::HandOnRequest request;
@@ -230,7 +231,7 @@
       });
 }
 
-void CallGateway::Run(const CancelAttempt& action) {
+void CallGateway::Execute(const CancelAttempt& action) {
   const auto attempt = m_attempts.find(action.m_attempt);
   if (attempt == m_attempts.end()) {
     return;
@@ -249,40 +250,40 @@
   }
 }
 
-void CallGateway::Run(const ForwardAnswer& action) {
+void CallGateway::Execute(const ForwardAnswer& action) {
   PendingCall& pending = m_pending.at(action.m_request);
-  if (pending.m_keeps_answer) {
-    m_answers.Keep(action.m_request, pending.m_answer);
+  if (pending.m_keeps_response) {
+    m_kept_responses.Keep(action.m_request, pending.m_response);
   }
-  Finish(action.m_request, pending.m_answer, Verdict::kRan, "", {}, {});
+  Finish(action.m_request, pending.m_response, Verdict::kRan, "", {}, {});
 }
 
-void CallGateway::Run(const ReplayAnswer& action) {
-  const HttpResponse* kept = m_answers.Find(action.m_original);
+void CallGateway::Execute(const ReplayAnswer& action) {
+  const HttpResponse* kept = m_kept_responses.Find(action.m_original);
   if (kept == nullptr) {
-    AnswerGone(action.m_request);
+    ReportResponseGone(action.m_request);
     return;
   }
   Finish(action.m_request, *kept, Verdict::kRan, "replayed", {}, {});
 }
 
-void CallGateway::Run(const ReplayPeerAnswer& action) {
+void CallGateway::Execute(const ReplayPeerAnswer& action) {
   PendingCall& pending = m_pending.at(action.m_request);
-  if (!pending.m_peer_answer) {
-    AnswerGone(action.m_request);
+  if (!pending.m_peer_response) {
+    ReportResponseGone(action.m_request);
     return;
   }
-  Finish(action.m_request, std::move(*pending.m_peer_answer), Verdict::kRan,
+  Finish(action.m_request, std::move(*pending.m_peer_response), Verdict::kRan,
          "replayed", {}, {});
 }
 
-void CallGateway::Run(const RefuseCall& action) {
+void CallGateway::Execute(const RefuseCall& action) {
   const RefusalRow& row = DescribeRefusal(action.m_reason);
   Finish(action.m_request, MakeError(row.m_http_status, row.m_name, row.m_help),
          action.m_verdict, row.m_name, action.m_retry_after, action.m_slots);
 }
 
-void CallGateway::Run(const AskSeen& action) {
+void CallGateway::Execute(const AskSeen& action) {
   proto::SeenRequest request;
   request.set_protocol(kPeerProtocol);
   request.set_key(action.m_key.Get());
@@ -311,11 +312,11 @@
   }
   PendingCall& pending = it->second;
   pending.m_fetch = 0;
-  const AttemptOutcome outcome = JudgeFetch(result, pending.m_request_id);
+  const AttemptOutcome outcome = ClassifyFetch(result, pending.m_request_id);
   if (outcome == AttemptOutcome::kAnswerMalformed) {
     m_metrics.CountMalformed("backend_server");
   }
-  pending.m_answer = std::move(result.m_response);
+  pending.m_response = std::move(result.m_response);
   m_driver.Feed(AttemptEnded{attempt, outcome, {}, {}});
 }
 
@@ -333,15 +334,15 @@
   pending.m_hand_on = 0;
   AttemptEnded event;
   event.m_attempt = attempt;
-  event.m_outcome = JudgeHandOn(end, reply, pending.m_request_id);
+  event.m_outcome = ClassifyHandOn(end, reply, pending.m_request_id);
   if (end == PeerEnd::kAnswered && reply.has_slots()) {
     event.m_slots = FromProto(reply.slots());
     event.m_retry_after = milliseconds(reply.retry_after_ms());
   }
-  pending.m_answer = {};
-  pending.m_answer.m_status = static_cast<int>(reply.status());
-  pending.m_answer.m_content_type = reply.content_type();
-  pending.m_answer.m_body = reply.body();
+  pending.m_response = {};
+  pending.m_response.m_status = static_cast<int>(reply.status());
+  pending.m_response.m_content_type = reply.content_type();
+  pending.m_response.m_body = reply.body();
   m_driver.Feed(event);
 }
 
@@ -351,31 +352,31 @@
                             const proto::SeenReply& reply) {
   m_driver.Clock().Observe(reply.hlc());
   KeyState state = KeyState::kUnknown;
-  const bool is_sound =
+  const bool is_valid =
       end == PeerEnd::kAnswered &&
       reply.answer() <= static_cast<uint32_t>(KeyState::kUnknown);
-  if (is_sound) {
+  if (is_valid) {
     state = static_cast<KeyState>(reply.answer());
   }
   const auto it = m_pending.find(request);
   if (it != m_pending.end() && state == KeyState::kRan && reply.status() != 0) {
-    HttpResponse answer;
-    answer.m_status = static_cast<int>(reply.status());
-    answer.m_content_type = reply.content_type();
-    answer.m_body = reply.body();
-    it->second.m_peer_answer = std::move(answer);
+    HttpResponse response;
+    response.m_status = static_cast<int>(reply.status());
+    response.m_content_type = reply.content_type();
+    response.m_body = reply.body();
+    it->second.m_peer_response = std::move(response);
   }
   m_driver.Feed(SeenAnswered{request, vm, state});
 }
 
-void CallGateway::AnswerGone(RequestId request) {
+void CallGateway::ReportResponseGone(RequestId request) {
   const RefusalRow& row = DescribeRefusal(RefusalReason::kRepeatAnswerGone);
   Finish(request, MakeError(row.m_http_status, row.m_name, row.m_help),
          Verdict::kRan, row.m_name, {}, {});
 }
 
 void CallGateway::Finish(RequestId request,
-                         HttpResponse answer,
+                         HttpResponse response,
                          Verdict verdict,
                          const char* reason,
                          Duration retry_after,
@@ -386,26 +387,31 @@
   }
   const PendingCall pending = std::move(it->second);
   m_pending.erase(it);
-  const Final final{std::move(answer), verdict, reason, retry_after, slots};
-  std::visit([&](const auto& origin) { Tell(origin, request, pending, final); },
-             pending.m_origin);
+  const FinalResponse final_response{std::move(response), verdict, reason,
+                                     retry_after, slots};
+  std::visit(
+      [&](const auto& origin) {
+        SendResponse(origin, request, pending, final_response);
+      },
+      pending.m_origin);
 }
 
-void CallGateway::Tell(const FromPeer& peer,
-                       RequestId,
-                       const PendingCall& pending,
-                       const Final& final) {
+void CallGateway::SendResponse(const FromPeer& peer,
+                               RequestId,
+                               const PendingCall& pending,
+                               const FinalResponse& final_response) {
   m_by_peer_call.erase(peer.m_call);
   proto::HandOnReply reply;
-  reply.set_verdict(static_cast<uint32_t>(final.m_verdict));
-  reply.set_status(static_cast<uint32_t>(final.m_answer.m_status));
-  reply.set_content_type(final.m_answer.m_content_type);
-  reply.set_body(final.m_answer.m_body);
-  reply.set_retry_after_ms(static_cast<uint32_t>(InMs(final.m_retry_after)));
+  reply.set_verdict(static_cast<uint32_t>(final_response.m_verdict));
+  reply.set_status(static_cast<uint32_t>(final_response.m_response.m_status));
+  reply.set_content_type(final_response.m_response.m_content_type);
+  reply.set_body(final_response.m_response.m_body);
+  reply.set_retry_after_ms(
+      static_cast<uint32_t>(InMs(final_response.m_retry_after)));
   reply.set_request_id(peer.m_request_id);
-  reply.set_reason(final.m_reason);
+  reply.set_reason(final_response.m_reason);
   reply.set_hlc(m_driver.NextStamp());
-  ServiceSlots slots = final.m_slots;
+  ServiceSlots slots = final_response.m_slots;
   if (slots.m_service == NameHash()) {
     slots = m_driver.Core().SlotsOf(pending.m_service, SteadyNow());
   }
@@ -413,10 +419,10 @@
   peer.m_done(reply);
 }
 
-void CallGateway::Tell(const FromCaller& caller,
-                       RequestId request,
-                       const PendingCall& pending,
-                       const Final& final) {
+void CallGateway::SendResponse(const FromCaller& caller,
+                               RequestId request,
+                               const PendingCall& pending,
+                               const FinalResponse& final_response) {
   const auto [first, last] = m_by_connection.equal_range(caller.m_connection);
   const auto entry = std::find_if(
       first, last, [&](const auto& item) { return item.second == request; });
@@ -425,24 +431,25 @@
   }
   const NodeIdentity& self = m_driver.Core().Identity();
   HttpResponse response;
-  response.m_status = final.m_answer.m_status;
-  response.m_content_type = final.m_answer.m_content_type;
-  response.m_body = final.m_answer.m_body;
+  response.m_status = final_response.m_response.m_status;
+  response.m_content_type = final_response.m_response.m_content_type;
+  response.m_body = final_response.m_response.m_body;
   response.m_headers = {
-      {kVerdictHeader, VerdictName(final.m_verdict)},
+      {kVerdictHeader, VerdictName(final_response.m_verdict)},
       {kRequestIdHeader, pending.m_request_id},
       {kVmHeader, FormatVmId(self.m_name, self.m_incarnation)}};
-  if (*final.m_reason != '\0') {
-    response.m_headers.emplace_back(kReasonHeader, final.m_reason);
+  if (*final_response.m_reason != '\0') {
+    response.m_headers.emplace_back(kReasonHeader, final_response.m_reason);
   }
-  if (final.m_retry_after > Duration::zero()) {
-    const int64_t ms = InMs(final.m_retry_after);
+  if (final_response.m_retry_after > Duration::zero()) {
+    const int64_t ms = InMs(final_response.m_retry_after);
     response.m_headers.emplace_back("Retry-After",
                                     std::to_string((ms + 999) / 1000));
     response.m_headers.emplace_back(kRetryAfterMsHeader, std::to_string(ms));
   }
-  m_metrics.CountAnswer(pending.m_service_name, VerdictName(final.m_verdict),
-                        SteadyNow() - pending.m_arrived);
+  m_metrics.CountResponse(pending.m_service_name,
+                          VerdictName(final_response.m_verdict),
+                          SteadyNow() - pending.m_arrived);
   caller.m_reply(std::move(response));
 }
 
--- a/src/serve/call_gateway.h
+++ b/src/serve/call_gateway.h
@@ -1,4 +1,4 @@
-/// @file call_gateway.h Accepts, dispatches and answers requests.
+/// @file call_gateway.h Accepts requests, dispatches them and sends responses.
 
 #ifndef SORRELPLANK_SERVE_CALL_GATEWAY_H_
 #define SORRELPLANK_SERVE_CALL_GATEWAY_H_
@@ -12,17 +12,18 @@
 #include "net/http_message_type.h"
 #include "net/peer_client.h"
 #include "net/peer_server.h"
-#include "serve/answer_store.h"
 #include "serve/node_driver.h"
 #include "serve/pending_call_type.h"
+#include "serve/response_store.h"
 
 namespace sorrelplank {
 
 class HttpClient;
 class MetricsExport;
 
-/// The filters at both ends of the pipeline: accept, dispatch and answer. All
-/// between them is decided in the core.
+/// The first and last stages of the request pipeline: accepts requests,
+/// dispatches them and sends the responses. The core takes the decisions in
+/// between.
 class CallGateway {
  public:
   CallGateway(NodeDriver& driver,
@@ -31,35 +32,35 @@
               MetricsExport& metrics,
               size_t kept_answer_bytes);
 
-  /// A request of a caller, to /v1/call/SERVICE/...
+  /// Accepts a caller's request to /v1/call/SERVICE/...
   void AcceptCall(HttpRequest request, HttpReply reply);
-  /// The caller's connection was closed.
+  /// Reports to the core that the caller of the connection's requests has left.
   void CallerClosed(uint64_t connection);
 
-  /// A request handed on by another entry VM.
+  /// Accepts a request that another entry VM forwarded.
   void AcceptHandOn(uint64_t call,
                     const proto::HandOnRequest& request,
                     PeerHandlers::Done<proto::HandOnReply> done);
   void HandOnCancelled(uint64_t call);
 
-  /// Another entry VM asks about a key.
+  /// Answers another entry VM's query for the state of a key.
   proto::SeenReply AnswerSeen(const proto::SeenRequest& request);
 
-  /// Failure runs only: whether an address is cut off.
-  void SetCutTest(std::function<bool(uint32_t ip)> is_cut) {
-    m_is_cut = std::move(is_cut);
+  /// Sets the check for addresses that are cut off; fault injection only.
+  void SetCutOffCheck(std::function<bool(uint32_t ip)> is_cut_off) {
+    m_is_cut_off = std::move(is_cut_off);
   }
 
  private:
-  void Take(const Action& action);
-  void Run(const DispatchToBackend& action);
-  void Run(const HandOnToVm& action);
-  void Run(const CancelAttempt& action);
-  void Run(const ForwardAnswer& action);
-  void Run(const ReplayAnswer& action);
-  void Run(const ReplayPeerAnswer& action);
-  void Run(const RefuseCall& action);
-  void Run(const AskSeen& action);
+  void HandleAction(const Action& action);
+  void Execute(const DispatchToBackend& action);
+  void Execute(const HandOnToVm& action);
+  void Execute(const CancelAttempt& action);
+  void Execute(const ForwardAnswer& action);
+  void Execute(const ReplayAnswer& action);
+  void Execute(const ReplayPeerAnswer& action);
+  void Execute(const RefuseCall& action);
+  void Execute(const AskSeen& action);
 
   void BackendEnded(RequestId request, AttemptId attempt, HttpResult result);
   void HandOnEnded(RequestId request,
@@ -70,42 +71,44 @@
                  const VmName& vm,
                  PeerEnd end,
                  const proto::SeenReply& reply);
-  /// The answer is a copy: what it came from ends with the request.
+  /// Sends the response and ends the request. Takes the response by value
+  /// because the pending request that may own it is removed.
   void Finish(RequestId request,
-              HttpResponse answer,
+              HttpResponse response,
               Verdict verdict,
               const char* reason,
               Duration retry_after,
               const ServiceSlots& slots);
-  /// A request's final answer.
-  struct Final {
-    HttpResponse m_answer;
+  /// The final response to a request, with its verdict.
+  struct FinalResponse {
+    HttpResponse m_response;
     Verdict m_verdict = Verdict::kNotRun;
     const char* m_reason = "";
     Duration m_retry_after{};
     ServiceSlots m_slots;
   };
-  void Tell(const FromPeer& peer,
-            RequestId request,
-            const PendingCall& pending,
-            const Final& final);
-  void Tell(const FromCaller& caller,
-            RequestId request,
-            const PendingCall& pending,
-            const Final& final);
-  void AnswerGone(RequestId request);
+  void SendResponse(const FromPeer& peer,
+                    RequestId request,
+                    const PendingCall& pending,
+                    const FinalResponse& final_response);
+  void SendResponse(const FromCaller& caller,
+                    RequestId request,
+                    const PendingCall& pending,
+                    const FinalResponse& final_response);
+  /// Answers a repeat whose earlier response is no longer stored.
+  void ReportResponseGone(RequestId request);
 
   NodeDriver& m_driver;
   HttpClient& m_http;
   PeerClient& m_peers;
   MetricsExport& m_metrics;
-  AnswerStore m_answers;
+  ResponseStore m_kept_responses;
   uint64_t m_next_request = 1;
   std::unordered_map<RequestId, PendingCall> m_pending;
   std::unordered_map<AttemptId, RequestId> m_attempts;
   std::multimap<uint64_t, RequestId> m_by_connection;
   std::map<uint64_t, RequestId> m_by_peer_call;
-  std::function<bool(uint32_t)> m_is_cut;
+  std::function<bool(uint32_t)> m_is_cut_off;
 };
 
 }  // namespace sorrelplank
--- a/src/serve/call_parse.cc
+++ b/src/serve/call_parse.cc
@@ -1,4 +1,4 @@
-/// @file call_parse.cc Parsing of callers' header fields.
+/// @file call_parse.cc Parses callers' requests and header fields.
 
 #include <xxhash.h>
 
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr std::string_view kCallPrefix = "/v1/call/";
-constexpr size_t kLongestKey = 128;
-constexpr size_t kMostTried = 16;
-constexpr int64_t kLongestDeadlineMs = 600000;
+constexpr size_t kMaxKeyBytes = 128;
+constexpr size_t kMaxTriedVms = 16;
+constexpr int64_t kMaxDeadlineMs = 600000;
 
 template <typename Number>
 bool ParseNumber(std::string_view text, Number& number) {
@@ -26,13 +26,13 @@
   return result.ec == std::errc() && result.ptr == last;
 }
 
-bool IsKey(const std::string& key) {
-  return !key.empty() && key.size() <= kLongestKey &&
+bool IsValidKey(const std::string& key) {
+  return !key.empty() && key.size() <= kMaxKeyBytes &&
          std::all_of(key.begin(), key.end(),
                      [](char c) { return c > ' ' && c < 127; });
 }
 
-/// Path and query as they go to the backend server.
+/// Returns path and query of the request to the backend server.
 std::string BackendPath(const HttpRequest& request, size_t service_end) {
   std::string path = request.m_path.substr(service_end);
   if (path.empty()) {
@@ -63,7 +63,7 @@
   }
   if (const auto text = request.Header(kDeadlineHeader)) {
     int64_t ms = 0;
-    if (!ParseNumber(*text, ms) || ms < 1 || ms > kLongestDeadlineMs) {
+    if (!ParseNumber(*text, ms) || ms < 1 || ms > kMaxDeadlineMs) {
       return MalformedCall{std::string(kDeadlineHeader) +
                            " is no number from 1 to 600000"};
     }
@@ -72,7 +72,7 @@
   parsed.m_backend_path = BackendPath(request, end);
   call.m_body_size = request.m_body.size();
   if (const auto key = request.Header(kKeyHeader)) {
-    if (!IsKey(*key)) {
+    if (!IsValidKey(*key)) {
       return MalformedCall{std::string(kKeyHeader) +
                            " is not 1 to 128 visible characters"};
     }
@@ -100,10 +100,10 @@
   while (std::getline(stream, item, ',')) {
     const size_t at = item.rfind('@');
     uint64_t incarnation = 0;
-    const bool is_sound =
+    const bool is_valid =
         at != std::string::npos && at > 0 &&
         ParseNumber(std::string_view(item).substr(at + 1), incarnation);
-    if (!is_sound || list.size() == kMostTried) {
+    if (!is_valid || list.size() == kMaxTriedVms) {
       return false;
     }
     list.push_back({item.substr(0, at), Incarnation(incarnation)});
@@ -124,7 +124,8 @@
                 const std::string& method,
                 const std::string& path,
                 const std::string& body) {
-  // Each part with its length, so that no two different requests read alike.
+  // The length before each part keeps the concatenation unambiguous, so that
+  // different requests never give the same input to the hash.
   std::string all;
   for (const std::string* part : {&service, &key, &method, &path, &body}) {
     all += std::to_string(part->size()) + ":" + *part;
--- a/src/serve/call_parse_func.h
+++ b/src/serve/call_parse_func.h
@@ -1,4 +1,4 @@
-/// @file call_parse_func.h From a caller's HTTP request to an incoming call.
+/// @file call_parse_func.h Parses a caller's HTTP request into a call.
 
 #ifndef SORRELPLANK_SERVE_CALL_PARSE_FUNC_H_
 #define SORRELPLANK_SERVE_CALL_PARSE_FUNC_H_
@@ -11,29 +11,30 @@
 
 namespace sorrelplank {
 
-/// A request to /v1/call/SERVICE/PATH, taken apart.
+/// The parsed parts of a request to /v1/call/SERVICE/PATH.
 struct ParsedCall {
   IncomingCall m_call;
   std::string m_service_name;
-  /// What the backend server is asked for, with query.
+  /// Path and query of the request to the backend server.
   std::string m_backend_path;
   std::string m_key;
 };
 
-/// What is wrong with a request; answered with status 400.
+/// Why a request is malformed; the caller gets status 400.
 struct MalformedCall {
   std::string m_problem;
 };
 
 std::variant<ParsedCall, MalformedCall> ParseCall(const HttpRequest& request);
 
-/// Reads "none" or "NAME@INCARNATION,..."; false if it is neither.
+/// Parses "none" or "NAME@INCARNATION,..."; returns false for other text.
 bool ParseTried(const std::string& text, Tried& tried);
 
-/// "NAME@INCARNATION".
+/// Formats as "NAME@INCARNATION".
 std::string FormatVmId(const VmName& name, Incarnation incarnation);
 
-/// Hash of service, key and content; never zero.
+/// Hashes service, key, method, path and body; never returns zero, which
+/// stands for "no key".
 KeyHash HashKey(const std::string& service,
                 const std::string& key,
                 const std::string& method,
--- a/src/serve/attempt_end.cc
+++ b/src/serve/classify_attempt.cc
@@ -1,14 +1,14 @@
-/// @file attempt_end.cc From transport results to outcomes.
+/// @file classify_attempt.cc Maps transport results to attempt outcomes.
 
 #include "proto/peer.pb.h"
-#include "serve/attempt_end_func.h"
 #include "serve/call_headers_type.h"
+#include "serve/classify_attempt_func.h"
 
 namespace sorrelplank {
 
 namespace {
 
-std::string HeaderOf(const HttpResponse& response, const char* name) {
+std::string HeaderValue(const HttpResponse& response, const char* name) {
   for (const auto& [field, value] : response.m_headers) {
     if (field == name) {
       return value;
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-AttemptOutcome JudgeFetch(const HttpResult& result,
-                          const std::string& request_id) {
+AttemptOutcome ClassifyFetch(const HttpResult& result,
+                             const std::string& request_id) {
   switch (result.m_end) {
     case FetchEnd::kConnectFailed:
       return AttemptOutcome::kConnectFailed;
@@ -39,20 +39,21 @@
     case FetchEnd::kAnswered:
       break;
   }
-  // A backend server that names the request in its answer lets us catch one
-  // that mixes answers up: without this a caller could read another's record.
-  const std::string named = HeaderOf(result.m_response, kRequestIdHeader);
+  // If the response carries a request id, it must be that of this request.
+  // Otherwise a backend server that mixes up responses could send a caller
+  // the record of another one.
+  const std::string named = HeaderValue(result.m_response, kRequestIdHeader);
   if (!named.empty() && named != request_id) {
     return AttemptOutcome::kAnswerMalformed;
   }
-  const bool was_shed = HeaderOf(result.m_response, kVerdictHeader) ==
+  const bool was_shed = HeaderValue(result.m_response, kVerdictHeader) ==
                         VerdictName(Verdict::kNotRun);
   return was_shed ? AttemptOutcome::kShed : AttemptOutcome::kAnswered;
 }
 
-AttemptOutcome JudgeHandOn(PeerEnd end,
-                           const proto::HandOnReply& reply,
-                           const std::string& request_id) {
+AttemptOutcome ClassifyHandOn(PeerEnd end,
+                              const proto::HandOnReply& reply,
+                              const std::string& request_id) {
   switch (end) {
     case PeerEnd::kUnreachable:
       return AttemptOutcome::kPeerUnreachable;
--- a/src/serve/clock_func.h
+++ b/src/serve/clock_func.h
@@ -1,4 +1,4 @@
-/// @file clock_func.h The only readings of clocks in the program.
+/// @file clock_func.h Reads the monotonic clock and the wall clock.
 
 #ifndef SORRELPLANK_SERVE_CLOCK_FUNC_H_
 #define SORRELPLANK_SERVE_CLOCK_FUNC_H_
@@ -7,13 +7,13 @@
 
 namespace sorrelplank {
 
-/// The process's monotonic clock.
+/// Reads the monotonic clock.
 inline TimePoint SteadyNow() {
   return std::chrono::time_point_cast<Duration>(
       std::chrono::steady_clock::now());
 }
 
-/// Wall clock, for stamps that people read.
+/// Reads the wall clock, for timestamps that people read.
 inline microseconds WallNow() {
   return std::chrono::duration_cast<microseconds>(
       std::chrono::system_clock::now().time_since_epoch());
--- a/src/serve/config_spread.cc
+++ b/src/serve/config_sync.cc
@@ -1,6 +1,6 @@
-/// @file config_spread.cc Watching, fetching and installing.
+/// @file config_sync.cc Watches, fetches and installs configurations.
 
-#include "serve/config_spread.h"
+#include "serve/config_sync.h"
 
 #include <glog/logging.h>
 #include <xxhash.h>
@@ -21,28 +21,31 @@
 
 constexpr size_t kWatchersPerDomain = 2;
 constexpr Duration kWatchWait = seconds(30);
-constexpr Duration kStep = milliseconds(500);
-/// A starting entry VM waits this long for better offers before it installs
-/// what it has, so that it does not start with an old version of one peer.
+constexpr Duration kTickInterval = milliseconds(500);
+/// A starting entry VM waits this long for newer versions before it installs
+/// the newest one received, so that it does not start with an old version from
+/// one peer.
 constexpr Duration kSettleTime = milliseconds(1000);
 
+/// Weight for rendezvous hashing: the VMs with the highest weights in a failure
+/// domain watch the platform.
 uint64_t WatchWeight(const VmName& vm) {
   return XXH3_64bits_withSeed(vm.data(), vm.size(), 0x57a7c4);
 }
 
 }  // namespace
 
-/// Repeats a step until it is destroyed.
-class ConfigSpread::Timer {
+/// Calls a function periodically until the timer is destroyed.
+class ConfigSync::Timer {
  public:
-  Timer(asio::io_context& io, std::function<void()> step)
-      : m_timer(io), m_step(std::move(step)) {}
+  Timer(asio::io_context& io, std::function<void()> on_tick)
+      : m_timer(io), m_on_tick(std::move(on_tick)) {}
 
   void Arm() {
-    m_timer.expires_after(kStep);
+    m_timer.expires_after(kTickInterval);
     m_timer.async_wait([this](std::error_code error) {
       if (!error) {
-        m_step();
+        m_on_tick();
         Arm();
       }
     });
@@ -50,45 +53,45 @@
 
  private:
   asio::steady_timer m_timer;
-  std::function<void()> m_step;
+  std::function<void()> m_on_tick;
 };
 
-/// Chunks of one head, fetched one after the other.
-struct ConfigSpread::Collecting {
+/// The chunks of one head, fetched one after the other.
+struct ConfigSync::ChunkDownload {
   Head m_head;
   ConfigFiles m_files;
 };
 
-ConfigSpread::ConfigSpread(asio::io_context& io,
-                           NodeDriver& driver,
-                           PlatformClient& platform,
-                           PeerClient& peers,
-                           MetricsExport& metrics,
-                           std::vector<VmAddress> seeds)
+ConfigSync::ConfigSync(asio::io_context& io,
+                       NodeDriver& driver,
+                       PlatformClient& platform,
+                       PeerClient& peers,
+                       MetricsExport& metrics,
+                       std::vector<VmAddress> seeds)
     : m_driver(driver),
       m_platform(platform),
       m_peers(peers),
       m_metrics(metrics),
       m_seeds(std::move(seeds)),
       m_timer(std::make_unique<Timer>(io, [this] { OnTick(); })) {
-  m_driver.AddSink([this](const Action& action) { Take(action); });
+  m_driver.AddSink([this](const Action& action) { HandleAction(action); });
 }
 
-ConfigSpread::~ConfigSpread() = default;
+ConfigSync::~ConfigSync() = default;
 
-void ConfigSpread::Start() {
+void ConfigSync::Start() {
   m_started = SteadyNow();
-  AskPlatform();
+  QueryPlatform();
   m_platform.ListVms([this](const std::vector<VmAddress>& vms) {
     m_driver.Feed(SeedsLearned{vms});
     m_seeds.insert(m_seeds.end(), vms.begin(), vms.end());
-    AskPeers();
+    QueryPeers();
   });
-  AskPeers();
+  QueryPeers();
   m_timer->Arm();
 }
 
-proto::ConfigReply ConfigSpread::Answer(
+proto::ConfigReply ConfigSync::Answer(
     const proto::ConfigRequest& request) const {
   proto::ConfigReply reply;
   if (request.protocol() != kPeerProtocol || !m_head) {
@@ -107,7 +110,7 @@
   return reply;
 }
 
-bool ConfigSpread::IsWatcher() const {
+bool ConfigSync::IsWatcher() const {
   const Node& node = m_driver.Core();
   const auto& config = node.Config();
   if (!config) {
@@ -115,7 +118,7 @@
   }
   const auto own = config->FindPlace(node.Identity().m_place);
   const uint64_t weight = WatchWeight(node.Identity().m_name);
-  size_t heavier = 0;
+  size_t higher_weight_count = 0;
   for (const auto& [name, member] : node.Members().All()) {
     const auto place = config->FindPlace(member.m_record.m_place);
     const bool shares_domain =
@@ -123,24 +126,24 @@
         config->Get(*place).m_domain == config->Get(*own).m_domain;
     if (shares_domain && node.Members().IsAlive(member, SteadyNow()) &&
         WatchWeight(name) > weight) {
-      ++heavier;
+      ++higher_weight_count;
     }
   }
-  return heavier < kWatchersPerDomain;
+  return higher_weight_count < kWatchersPerDomain;
 }
 
-void ConfigSpread::Take(const Action& action) {
+void ConfigSync::HandleAction(const Action& action) {
   if (const auto* fetch = std::get_if<FetchConfig>(&action)) {
-    AskPeer(fetch->m_address);
+    QueryPeer(fetch->m_address);
   }
 }
 
-void ConfigSpread::OnTick() {
+void ConfigSync::OnTick() {
   if (!m_head) {
-    InstallBest();
+    InstallCandidate();
     if (!m_head) {
-      AskPlatform();
-      AskPeers();
+      QueryPlatform();
+      QueryPeers();
       return;
     }
   }
@@ -149,27 +152,27 @@
   }
 }
 
-void ConfigSpread::AskPlatform() {
-  if (m_is_asking_platform) {
+void ConfigSync::QueryPlatform() {
+  if (m_is_querying_platform) {
     return;
   }
-  m_is_asking_platform = true;
+  m_is_querying_platform = true;
   m_platform.Get(kHeadKey, [this](const PlatformResult& result) {
-    m_is_asking_platform = false;
-    m_platform_asked = true;
-    PlatformAnswered(result);
+    m_is_querying_platform = false;
+    m_has_queried_platform = true;
+    OnPlatformResponse(result);
   });
 }
 
-void ConfigSpread::Watch() {
-  if (m_is_asking_platform || m_is_collecting) {
+void ConfigSync::Watch() {
+  if (m_is_querying_platform || m_is_downloading) {
     return;
   }
-  m_is_asking_platform = true;
+  m_is_querying_platform = true;
   m_platform.Watch(kHeadKey, m_platform_tag, kWatchWait,
                    [this](const PlatformResult& result) {
-                     m_is_asking_platform = false;
-                     PlatformAnswered(result);
+                     m_is_querying_platform = false;
+                     OnPlatformResponse(result);
                      const bool is_up = result.m_end == PlatformEnd::kDone ||
                                         result.m_end == PlatformEnd::kUnchanged;
                      if (is_up && IsWatcher()) {
@@ -178,18 +181,18 @@
                    });
 }
 
-void ConfigSpread::AskPeers() {
+void ConfigSync::QueryPeers() {
   if (m_seeds.empty() || m_head) {
     return;
   }
-  // Two at a time, in turn: enough to find one that answers soon, and a fleet
-  // that starts at once does not ask everybody of everybody.
+  // Two peers per round, in rotation: enough to soon find one that responds,
+  // and when all VMs start at once, they don't all query all others.
   for (int count = 0; count < 2; ++count) {
-    AskPeer(m_seeds[m_next_seed++ % m_seeds.size()]);
+    QueryPeer(m_seeds[m_next_seed++ % m_seeds.size()]);
   }
 }
 
-void ConfigSpread::AskPeer(VmAddress peer) {
+void ConfigSync::QueryPeer(VmAddress peer) {
   proto::ConfigRequest request;
   request.set_protocol(kPeerProtocol);
   for (const auto& [digest, text] : m_chunks) {
@@ -197,35 +200,35 @@
   }
   m_peers.Config(peer, request,
                  [this](PeerEnd end, const proto::ConfigReply& reply) {
-                   PeerAnswered(end, reply);
+                   OnPeerReply(end, reply);
                  });
 }
 
-void ConfigSpread::PlatformAnswered(const PlatformResult& result) {
+void ConfigSync::OnPlatformResponse(const PlatformResult& result) {
   switch (result.m_end) {
     case PlatformEnd::kDone: {
-      NotePlatform(true);
+      SetPlatformUp(true);
       m_platform_tag = result.m_tag;
       const auto head = ParseHead(result.m_value);
       if (!head) {
         m_metrics.CountMalformed("platform");
-        LOG(ERROR) << "the platform's head record is damaged";
+        LOG(ERROR) << "cannot parse the platform's head record";
         return;
       }
-      Collect(*head);
+      DownloadChunks(*head);
       return;
     }
     case PlatformEnd::kMissing:
     case PlatformEnd::kUnchanged:
-      NotePlatform(true);
+      SetPlatformUp(true);
       return;
     default:
-      NotePlatform(false);
+      SetPlatformUp(false);
       return;
   }
 }
 
-void ConfigSpread::PeerAnswered(PeerEnd end, const proto::ConfigReply& reply) {
+void ConfigSync::OnPeerReply(PeerEnd end, const proto::ConfigReply& reply) {
   if (end != PeerEnd::kAnswered || reply.head().empty()) {
     return;
   }
@@ -249,67 +252,71 @@
     files.push_back(
         {file.m_name, sent != reply.chunks().end() ? sent->data() : *own});
   }
-  Offer(*head, std::move(files));
+  AddCandidate(*head, std::move(files));
 }
 
-void ConfigSpread::Collect(const Head& head) {
-  if (m_is_collecting) {
+void ConfigSync::DownloadChunks(const Head& head) {
+  if (m_is_downloading) {
     return;
   }
-  if (head.m_version <= OwnVersion()) {
-    const bool is_lower = head.m_version < OwnVersion();
-    if (is_lower && !m_warned_lower) {
-      m_driver.Note(TimelineKind::kConfigRefused,
-                    "the platform offers version " +
-                        std::to_string(head.m_version.Get()) +
-                        " below the one in force: was it restored?");
+  if (head.m_version <= CurrentVersion()) {
+    const bool is_lower = head.m_version < CurrentVersion();
+    if (is_lower && !m_has_warned_lower_version) {
+      m_driver.AddTimelineEvent(
+          TimelineKind::kConfigRefused,
+          "the platform offers version " +
+              std::to_string(head.m_version.Get()) +
+              " below the one in force: was it restored?");
     }
-    m_warned_lower = is_lower;
+    m_has_warned_lower_version = is_lower;
     return;
   }
-  m_is_collecting = true;
-  FetchNextChunk(std::make_shared<Collecting>(Collecting{head, ConfigFiles()}));
+  m_is_downloading = true;
+  FetchNextChunk(
+      std::make_shared<ChunkDownload>(ChunkDownload{head, ConfigFiles()}));
 }
 
-void ConfigSpread::FetchNextChunk(const std::shared_ptr<Collecting>& work) {
-  while (work->m_files.size() < work->m_head.m_files.size()) {
-    const HeadFile& file = work->m_head.m_files[work->m_files.size()];
+void ConfigSync::FetchNextChunk(
+    const std::shared_ptr<ChunkDownload>& download) {
+  while (download->m_files.size() < download->m_head.m_files.size()) {
+    const HeadFile& file = download->m_head.m_files[download->m_files.size()];
     const auto own = FindChunk(file.m_digest);
     if (!own) {
-      m_platform.Get(kChunkPrefix + file.m_digest,
-                     [this, work, file](const PlatformResult& result) {
-                       if (result.m_end != PlatformEnd::kDone ||
-                           DigestOf(result.m_value) != file.m_digest) {
-                         // Missing or damaged: nothing of this head comes into
-                         // force. Forgetting the tag makes the next watch
-                         // return at once, after the tick's pause.
-                         m_is_collecting = false;
-                         m_platform_tag.clear();
-                         m_metrics.CountMalformed("platform");
-                         return;
-                       }
-                       work->m_files.push_back({file.m_name, result.m_value});
-                       FetchNextChunk(work);
-                     });
+      m_platform.Get(
+          kChunkPrefix + file.m_digest,
+          [this, download, file](const PlatformResult& result) {
+            if (result.m_end != PlatformEnd::kDone ||
+                DigestOf(result.m_value) != file.m_digest) {
+              // The chunk is missing or corrupt: nothing of this head is
+              // installed. Without a tag the next watch, started on the next
+              // tick, returns at once.
+              m_is_downloading = false;
+              m_platform_tag.clear();
+              m_metrics.CountMalformed("platform");
+              return;
+            }
+            download->m_files.push_back({file.m_name, result.m_value});
+            FetchNextChunk(download);
+          });
       return;
     }
-    work->m_files.push_back({file.m_name, *own});
+    download->m_files.push_back({file.m_name, *own});
   }
-  m_is_collecting = false;
-  Offer(work->m_head, std::move(work->m_files));
+  m_is_downloading = false;
+  AddCandidate(download->m_head, std::move(download->m_files));
 }
 
-void ConfigSpread::Offer(const Head& head, ConfigFiles files) {
+void ConfigSync::AddCandidate(const Head& head, ConfigFiles files) {
   const bool is_better =
-      head.m_version > OwnVersion() &&
+      head.m_version > CurrentVersion() &&
       (!m_candidate || head.m_version > m_candidate->m_head.m_version);
   if (is_better) {
     m_candidate = Candidate{head, std::move(files)};
   }
-  InstallBest();
+  InstallCandidate();
 }
 
-void ConfigSpread::InstallBest() {
+void ConfigSync::InstallCandidate() {
   const bool is_settled = m_head || SteadyNow() - m_started > kSettleTime;
   if (!m_candidate || !is_settled) {
     return;
@@ -318,9 +325,10 @@
   m_candidate.reset();
   auto parsed = ParseConfig(candidate.m_files, candidate.m_head.m_version);
   if (const auto* faults = std::get_if<Faults>(&parsed)) {
-    // Accepted by an operator's command of another release, perhaps. We keep
-    // serving by what we have, and say so.
-    m_driver.Note(TimelineKind::kConfigRefused, FormatFault(faults->front()));
+    // The command that accepted this configuration may be of another release.
+    // The configuration in force stays, and the refusal is recorded.
+    m_driver.AddTimelineEvent(TimelineKind::kConfigRefused,
+                              FormatFault(faults->front()));
     return;
   }
   const auto snapshot =
@@ -337,22 +345,22 @@
   }
 }
 
-void ConfigSpread::NotePlatform(bool is_up) {
-  if (is_up != m_platform_up) {
-    m_driver.Note(
+void ConfigSync::SetPlatformUp(bool is_up) {
+  if (is_up != m_is_platform_up) {
+    m_driver.AddTimelineEvent(
         is_up ? TimelineKind::kPlatformUp : TimelineKind::kPlatformDown,
         is_up ? "the platform answers again" : "the platform does not answer");
   }
-  m_platform_up = is_up;
+  m_is_platform_up = is_up;
 }
 
-std::optional<std::string> ConfigSpread::FindChunk(
+std::optional<std::string> ConfigSync::FindChunk(
     const std::string& digest) const {
   const auto it = m_chunks.find(digest);
   return it == m_chunks.end() ? std::nullopt : std::optional(it->second);
 }
 
-ConfigVersion ConfigSpread::OwnVersion() const {
+ConfigVersion ConfigSync::CurrentVersion() const {
   return m_head ? m_head->m_version : ConfigVersion();
 }
 
--- a/src/serve/entry_process.cc
+++ b/src/serve/entry_process.cc
@@ -1,4 +1,4 @@
-/// @file entry_process.cc Wiring of one entry VM.
+/// @file entry_process.cc Connects the parts of an entry VM's process.
 
 #include "serve/entry_process.h"
 
@@ -18,7 +18,7 @@
 #include "proto/peer.pb.h"
 #include "serve/call_gateway.h"
 #include "serve/clock_func.h"
-#include "serve/config_spread.h"
+#include "serve/config_sync.h"
 #include "serve/error_response_func.h"
 #include "serve/metrics_export.h"
 #include "serve/node_driver.h"
@@ -28,9 +28,9 @@
 
 namespace {
 
-constexpr Duration kTick = milliseconds(5);
-/// Above the configuration's own limit on bodies.
-constexpr size_t kMostBodyBytes = 4U << 20U;
+constexpr Duration kTickInterval = milliseconds(5);
+/// Limit of the HTTP servers; not below any limit a configuration can set.
+constexpr size_t kMaxBodyBytes = 4U << 20U;
 constexpr std::string_view kCallPath = "/v1/call/";
 constexpr std::string_view kLookupPath = "/v1/lookup";
 
@@ -66,15 +66,15 @@
                   m_peers,
                   m_metrics,
                   settings.m_kept_answer_bytes),
-        m_spread(m_io,
-                 m_driver,
-                 m_platform,
-                 m_peers,
-                 m_metrics,
-                 settings.m_peers),
-        m_operator({m_driver, m_spread, m_platform, m_peers, m_metrics},
-                   settings.m_fault_switch ? MakeCutSwitch()
-                                           : OperatorApi::CutSwitch()),
+        m_config_sync(m_io,
+                      m_driver,
+                      m_platform,
+                      m_peers,
+                      m_metrics,
+                      settings.m_peers),
+        m_operator({m_driver, m_config_sync, m_platform, m_peers, m_metrics},
+                   settings.m_fault_switch ? MakeCutOffSetter()
+                                           : OperatorApi::CutOffSetter()),
         m_peer_server(m_io,
                       settings.m_ip,
                       settings.m_peer_port,
@@ -83,7 +83,7 @@
             m_io,
             settings.m_ip,
             settings.m_caller_port,
-            {kMostBodyBytes, settings.m_max_header_bytes},
+            {kMaxBodyBytes, settings.m_max_header_bytes},
             [this](HttpRequest request, HttpReply reply) {
               ServeCaller(std::move(request), std::move(reply));
             },
@@ -94,17 +94,17 @@
             m_io,
             settings.m_ip,
             settings.m_operator_port,
-            {kMostBodyBytes, settings.m_max_header_bytes},
+            {kMaxBodyBytes, settings.m_max_header_bytes},
             [this](const HttpRequest& request, const HttpReply& reply) {
               reply(m_operator.Answer(request));
             }) {
-    m_driver.AddSink([this](const Action& action) { Take(action); });
+    m_driver.AddSink([this](const Action& action) { HandleAction(action); });
   }
 
   void Run() {
-    m_driver.Note(TimelineKind::kStarted, m_settings.m_name);
+    m_driver.AddTimelineEvent(TimelineKind::kStarted, m_settings.m_name);
     m_driver.Feed(SeedsLearned{m_settings.m_peers});
-    m_spread.Start();
+    m_config_sync.Start();
     m_signals.async_wait([this](std::error_code error, int) {
       if (!error) {
         m_driver.Feed(StopRequested{});
@@ -116,7 +116,7 @@
 
  private:
   void ArmTick() {
-    m_tick.expires_after(kTick);
+    m_tick.expires_after(kTickInterval);
     m_tick.async_wait([this](std::error_code error) {
       if (!error) {
         m_driver.Feed(Tick{});
@@ -166,7 +166,7 @@
   PeerHandlers MakePeerHandlers() {
     PeerHandlers handlers;
     handlers.m_gossip = [this](const proto::GossipMessage& message) {
-      return TakeGossip(message);
+      return HandleGossip(message);
     };
     handlers.m_hand_on = [this](uint64_t call,
                                 const proto::HandOnRequest& request,
@@ -186,19 +186,19 @@
       return m_gateway.AnswerSeen(request);
     };
     handlers.m_config = [this](const proto::ConfigRequest& request) {
-      return m_spread.Answer(request);
+      return m_config_sync.Answer(request);
     };
     return handlers;
   }
 
-  proto::GossipMessage TakeGossip(const proto::GossipMessage& message) {
+  proto::GossipMessage HandleGossip(const proto::GossipMessage& message) {
     proto::GossipMessage reply;
     if (message.protocol() != kPeerProtocol) {
       m_metrics.CountMalformed("peer");
       return reply;
     }
-    const auto from = ReadRecords(message);
-    if (from.empty() || m_cut.contains(from.front().m_address.m_ip)) {
+    const auto from = ParseRecords(message);
+    if (from.empty() || m_cut_off_ips.contains(from.front().m_address.m_ip)) {
       return reply;
     }
     m_driver.Feed(GossipArrived{from});
@@ -208,7 +208,7 @@
     return reply;
   }
 
-  std::vector<VmRecord> ReadRecords(const proto::GossipMessage& message) {
+  std::vector<VmRecord> ParseRecords(const proto::GossipMessage& message) {
     m_driver.Clock().Observe(message.hlc());
     std::vector<VmRecord> records;
     for (const proto::VmRecord& item : message.records()) {
@@ -231,7 +231,7 @@
     }
   }
 
-  void Take(const Action& action) {
+  void HandleAction(const Action& action) {
     if (const auto* gossip = std::get_if<SendGossip>(&action)) {
       proto::GossipMessage message;
       FillGossip(gossip->m_records, message);
@@ -240,7 +240,7 @@
           gossip->m_address, message,
           [this](PeerEnd end, const proto::GossipMessage& reply) {
             if (end == PeerEnd::kAnswered && reply.records_size() > 0) {
-              m_driver.Feed(GossipArrived{ReadRecords(reply)});
+              m_driver.Feed(GossipArrived{ParseRecords(reply)});
             }
           });
     } else if (const auto* slots = std::get_if<SendSlotNotice>(&action)) {
@@ -256,20 +256,23 @@
   }
 
   void SendToPlatform(HttpFetch fetch, std::function<void(HttpResult)> done) {
-    const bool is_cut = std::any_of(
-        m_settings.m_platform.begin(), m_settings.m_platform.end(),
-        [this](const VmAddress& to) { return m_cut.contains(to.m_ip); });
-    if (is_cut) {
+    const bool is_cut_off =
+        std::any_of(m_settings.m_platform.begin(), m_settings.m_platform.end(),
+                    [this](const VmAddress& to) {
+                      return m_cut_off_ips.contains(to.m_ip);
+                    });
+    if (is_cut_off) {
       asio::post(m_io, [done = std::move(done)] { done(HttpResult()); });
       return;
     }
     m_http.Start(std::move(fetch), std::move(done));
   }
 
-  OperatorApi::CutSwitch MakeCutSwitch() {
-    m_gateway.SetCutTest([this](uint32_t ip) { return m_cut.contains(ip); });
+  OperatorApi::CutOffSetter MakeCutOffSetter() {
+    m_gateway.SetCutOffCheck(
+        [this](uint32_t ip) { return m_cut_off_ips.contains(ip); });
     return [this](std::set<uint32_t> ips) {
-      m_cut = ips;
+      m_cut_off_ips = ips;
       m_peers.SetCut(std::move(ips));
     };
   }
@@ -278,14 +281,14 @@
   asio::io_context m_io{1};
   asio::signal_set m_signals;
   asio::steady_timer m_tick;
-  std::set<uint32_t> m_cut;
+  std::set<uint32_t> m_cut_off_ips;
   NodeDriver m_driver;
   MetricsExport m_metrics;
   HttpClient m_http;
   PeerClient m_peers;
   PlatformClient m_platform;
   CallGateway m_gateway;
-  ConfigSpread m_spread;
+  ConfigSync m_config_sync;
   OperatorApi m_operator;
   PeerServer m_peer_server;
   HttpServer m_caller_server;
--- a/src/serve/entry_process.h
+++ b/src/serve/entry_process.h
@@ -1,4 +1,4 @@
-/// @file entry_process.h The process of one entry VM.
+/// @file entry_process.h The process of an entry VM.
 
 #ifndef SORRELPLANK_SERVE_ENTRY_PROCESS_H_
 #define SORRELPLANK_SERVE_ENTRY_PROCESS_H_
@@ -9,15 +9,15 @@
 
 namespace sorrelplank {
 
-/// Wires the decision core to sockets, timers and signals.
+/// Connects the decision core to sockets, timers and signals.
 class EntryProcess {
  public:
-  /// Listens on every port; throws std::runtime_error where it cannot.
+  /// Opens the listening ports; throws std::runtime_error on failure.
   explicit EntryProcess(const Settings& settings);
   ~EntryProcess();
 
-  /// Serves until asked to stop by SIGTERM or SIGINT, and everything in
-  /// flight has ended.
+  /// Serves until SIGTERM or SIGINT asks for a stop and all requests in flight
+  /// have ended.
   void Run();
 
  private:
--- a/src/serve/error_response.cc
+++ b/src/serve/error_response.cc
@@ -1,4 +1,4 @@
-/// @file error_response.cc Making of error answers.
+/// @file error_response.cc Makes error responses.
 
 #include <nlohmann/json.hpp>
 
--- a/src/serve/error_response_func.h
+++ b/src/serve/error_response_func.h
@@ -1,4 +1,4 @@
-/// @file error_response_func.h Bodies of error answers.
+/// @file error_response_func.h Error responses.
 
 #ifndef SORRELPLANK_SERVE_ERROR_RESPONSE_FUNC_H_
 #define SORRELPLANK_SERVE_ERROR_RESPONSE_FUNC_H_
@@ -9,7 +9,8 @@
 
 namespace sorrelplank {
 
-/// {"error":ERROR,"help":HELP} with a status; without help where it is empty.
+/// Makes a response with the body {"error":ERROR,"help":HELP}; an empty help is
+/// left out.
 HttpResponse MakeError(int status,
                        const std::string& error,
                        const std::string& help = "");
--- a/src/serve/event_ring.cc
+++ b/src/serve/event_ring.cc
@@ -1,4 +1,4 @@
-/// @file event_ring.cc Keeping and filtering of events.
+/// @file event_ring.cc Stores and filters timeline events.
 
 #include "serve/event_ring.h"
 
--- a/src/serve/event_ring.h
+++ b/src/serve/event_ring.h
@@ -1,4 +1,4 @@
-/// @file event_ring.h The last events of one process.
+/// @file event_ring.h The latest timeline events of the process.
 
 #ifndef SORRELPLANK_SERVE_EVENT_RING_H_
 #define SORRELPLANK_SERVE_EVENT_RING_H_
@@ -13,20 +13,20 @@
 
 namespace sorrelplank {
 
-/// Bounded list of events with their stamps.
+/// Ring buffer of timeline events with their hybrid clock stamps.
 class EventRing {
  public:
   explicit EventRing(size_t limit) : m_limit(limit) {}
 
   void Add(uint64_t stamp, TimelineEvent event);
 
-  /// JSON of the events that match every given filter: "service", "place",
-  /// "request", "kind".
+  /// Returns the events that match every given filter ("service", "place",
+  /// "request", "kind") as a JSON array. An empty filter value matches all.
   std::string ToJson(const std::string& vm,
                      const std::map<std::string, std::string>& filters) const;
 
  private:
-  /// An event with its moment.
+  /// An event with its stamp.
   struct Entry {
     uint64_t m_stamp;
     TimelineEvent m_event;
--- a/src/serve/metrics_export.cc
+++ b/src/serve/metrics_export.cc
@@ -1,4 +1,4 @@
-/// @file metrics_export.cc The only user of prometheus-cpp.
+/// @file metrics_export.cc Exports metrics with prometheus-cpp.
 
 #include "serve/metrics_export.h"
 
@@ -21,13 +21,13 @@
 const prom::Histogram::BucketBoundaries kSecondsBuckets{
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10};
 
-/// A family of one type with metrics made from plain numbers.
-class FamilyMaker {
+/// Builds metric families from plain numbers.
+class MetricFamilyBuilder {
  public:
-  FamilyMaker(std::vector<prom::MetricFamily>& out, std::string vm)
+  MetricFamilyBuilder(std::vector<prom::MetricFamily>& out, std::string vm)
       : m_out(out), m_vm(std::move(vm)) {}
 
-  void Open(const char* name, const char* help, prom::MetricType type) {
+  void StartFamily(const char* name, const char* help, prom::MetricType type) {
     m_out.push_back({name, help, type, {}});
   }
 
@@ -45,12 +45,12 @@
   }
 
   void Counter(const char* name, const char* help, uint64_t value) {
-    Open(name, help, prom::MetricType::Counter);
+    StartFamily(name, help, prom::MetricType::Counter);
     Add(static_cast<double>(value));
   }
 
   void Gauge(const char* name, const char* help, double value) {
-    Open(name, help, prom::MetricType::Gauge);
+    StartFamily(name, help, prom::MetricType::Gauge);
     Add(value);
   }
 
@@ -59,61 +59,68 @@
   std::string m_vm;
 };
 
-void AddCounters(const NodeCounters& counters, FamilyMaker& make) {
-  make.Counter("sorrelplank_calls_total", "Requests of callers.",
-               counters.m_calls);
-  make.Counter("sorrelplank_handed_on_here_total",
-               "Requests handed on to this entry VM.",
-               counters.m_handed_on_here);
-  make.Counter("sorrelplank_answered_total", "Requests answered.",
-               counters.m_answered);
-  make.Counter("sorrelplank_dispatched_total",
-               "Tries at backend servers held here.", counters.m_dispatched);
-  make.Counter("sorrelplank_handed_on_total", "Tries at other entry VMs.",
-               counters.m_handed_on);
-  make.Counter("sorrelplank_queued_total", "Requests that waited for a slot.",
-               counters.m_queued);
-  make.Counter("sorrelplank_replayed_total",
-               "Repeats answered from an earlier run.", counters.m_replayed);
-  make.Counter("sorrelplank_late_ends_total",
-               "Ends of tries that had been given up.", counters.m_late_ends);
-  make.Counter("sorrelplank_fences_total",
-               "Pauses of this process that were noticed.", counters.m_fences);
-  make.Counter("sorrelplank_gossip_records_total",
-               "Newer records of other entry VMs.", counters.m_gossip_records);
-  make.Open("sorrelplank_refused_total", "Requests given up, by reason.",
-            prom::MetricType::Counter);
+void AddCounters(const NodeCounters& counters, MetricFamilyBuilder& builder) {
+  builder.Counter("sorrelplank_calls_total", "Requests of callers.",
+                  counters.m_calls);
+  builder.Counter("sorrelplank_handed_on_here_total",
+                  "Requests handed on to this entry VM.",
+                  counters.m_handed_on_here);
+  builder.Counter("sorrelplank_answered_total", "Requests answered.",
+                  counters.m_answered);
+  builder.Counter("sorrelplank_dispatched_total",
+                  "Tries at backend servers held here.", counters.m_dispatched);
+  builder.Counter("sorrelplank_handed_on_total", "Tries at other entry VMs.",
+                  counters.m_handed_on);
+  builder.Counter("sorrelplank_queued_total",
+                  "Requests that waited for a slot.", counters.m_queued);
+  builder.Counter("sorrelplank_replayed_total",
+                  "Repeats answered from an earlier run.", counters.m_replayed);
+  builder.Counter("sorrelplank_late_ends_total",
+                  "Ends of tries that had been given up.",
+                  counters.m_late_ends);
+  builder.Counter("sorrelplank_fences_total",
+                  "Pauses of this process that were noticed.",
+                  counters.m_fences);
+  builder.Counter("sorrelplank_gossip_records_total",
+                  "Newer records of other entry VMs.",
+                  counters.m_gossip_records);
+  builder.StartFamily("sorrelplank_refused_total",
+                      "Requests given up, by reason.",
+                      prom::MetricType::Counter);
   for (size_t at = 0; at < counters.m_refused.size(); ++at) {
-    make.Add(static_cast<double>(counters.m_refused[at]), "reason",
-             DescribeRefusal(static_cast<RefusalReason>(at)).m_name);
+    builder.Add(static_cast<double>(counters.m_refused[at]), "reason",
+                DescribeRefusal(static_cast<RefusalReason>(at)).m_name);
   }
-  make.Open("sorrelplank_tries_total", "Ends of tries, by outcome.",
-            prom::MetricType::Counter);
+  builder.StartFamily("sorrelplank_tries_total", "Ends of tries, by outcome.",
+                      prom::MetricType::Counter);
   for (size_t at = 0; at < counters.m_outcomes.size(); ++at) {
-    make.Add(static_cast<double>(counters.m_outcomes[at]), "outcome",
-             DescribeOutcome(static_cast<AttemptOutcome>(at)).m_name);
+    builder.Add(static_cast<double>(counters.m_outcomes[at]), "outcome",
+                DescribeOutcome(static_cast<AttemptOutcome>(at)).m_name);
   }
 }
 
-void AddState(Node& node, TimePoint now, FamilyMaker& make) {
-  make.Gauge(
+void AddState(Node& node, TimePoint now, MetricFamilyBuilder& builder) {
+  builder.Gauge(
       "sorrelplank_config_version", "Version of the configuration in force.",
       node.Config() ? static_cast<double>(node.Config()->m_version.Get()) : 0);
-  make.Gauge("sorrelplank_open_calls", "Requests without an answer yet.",
-             static_cast<double>(node.OpenCalls()));
+  builder.Gauge("sorrelplank_open_calls", "Requests without an answer yet.",
+                static_cast<double>(node.OpenCalls()));
   if (!node.Config()) {
     return;
   }
   const auto slots = node.Slots(now);
-  make.Open("sorrelplank_slots_held", "Slots of backend servers held here.",
-            prom::MetricType::Gauge);
+  builder.StartFamily("sorrelplank_slots_held",
+                      "Slots of backend servers held here.",
+                      prom::MetricType::Gauge);
   for (size_t at = 0; at < slots.size(); ++at) {
-    make.Add(slots[at].m_held, "service", node.Config()->m_services[at].m_name);
+    builder.Add(slots[at].m_held, "service",
+                node.Config()->m_services[at].m_name);
   }
-  make.Open("sorrelplank_slots_free", "Of these, free now.",
-            prom::MetricType::Gauge);
+  builder.StartFamily("sorrelplank_slots_free", "Of these, free now.",
+                      prom::MetricType::Gauge);
   for (size_t at = 0; at < slots.size(); ++at) {
-    make.Add(slots[at].m_free, "service", node.Config()->m_services[at].m_name);
+    builder.Add(slots[at].m_free, "service",
+                node.Config()->m_services[at].m_name);
   }
 }
 
@@ -123,10 +130,11 @@
  public:
   explicit Impl(std::string vm)
       : m_vm(std::move(vm)),
-        m_answers(prom::BuildHistogram()
-                      .Name("sorrelplank_request_seconds")
-                      .Help("Time from a request's arrival to its answer.")
-                      .Register(m_registry)),
+        m_request_seconds(
+            prom::BuildHistogram()
+                .Name("sorrelplank_request_seconds")
+                .Help("Time from a request's arrival to its answer.")
+                .Register(m_registry)),
         m_malformed(prom::BuildCounter()
                         .Name("sorrelplank_malformed_total")
                         .Help("Messages that made no sense, by sender.")
@@ -137,10 +145,10 @@
                       .Register(m_registry)
                       .Add({{"vm", m_vm}})) {}
 
-  void CountAnswer(const std::string& service,
-                   const char* verdict,
-                   Duration took) {
-    m_answers
+  void CountResponse(const std::string& service,
+                     const char* verdict,
+                     Duration took) {
+    m_request_seconds
         .Add({{"vm", m_vm}, {"service", service}, {"verdict", verdict}},
              kSecondsBuckets)
         .Observe(std::chrono::duration<double>(took).count());
@@ -157,21 +165,22 @@
                    uint64_t control_bytes,
                    TimePoint now) {
     std::vector<prom::MetricFamily> families = m_registry.Collect();
-    FamilyMaker make(families, m_vm);
-    AddCounters(node.Counters(), make);
-    AddState(node, now, make);
-    make.Counter("sorrelplank_platform_calls_total",
-                 "Calls to the platform, watches counted as one.",
-                 platform_calls);
-    make.Counter("sorrelplank_control_bytes_total",
-                 "Bytes of heartbeats and configuration sent.", control_bytes);
+    MetricFamilyBuilder builder(families, m_vm);
+    AddCounters(node.Counters(), builder);
+    AddState(node, now, builder);
+    builder.Counter("sorrelplank_platform_calls_total",
+                    "Calls to the platform, watches counted as one.",
+                    platform_calls);
+    builder.Counter("sorrelplank_control_bytes_total",
+                    "Bytes of heartbeats and configuration sent.",
+                    control_bytes);
     return prom::TextSerializer().Serialize(families);
   }
 
  private:
   std::string m_vm;
   prom::Registry m_registry;
-  prom::Family<prom::Histogram>& m_answers;
+  prom::Family<prom::Histogram>& m_request_seconds;
   prom::Family<prom::Counter>& m_malformed;
   prom::Counter& m_lookups;
 };
@@ -181,10 +190,10 @@
 
 MetricsExport::~MetricsExport() = default;
 
-void MetricsExport::CountAnswer(const std::string& service,
-                                const char* verdict,
-                                Duration took) {
-  m_impl->CountAnswer(service, verdict, took);
+void MetricsExport::CountResponse(const std::string& service,
+                                  const char* verdict,
+                                  Duration took) {
+  m_impl->CountResponse(service, verdict, took);
 }
 
 void MetricsExport::CountMalformed(const std::string& from) {
--- a/src/serve/metrics_export.h
+++ b/src/serve/metrics_export.h
@@ -1,4 +1,4 @@
-/// @file metrics_export.h Metrics in Prometheus's text form.
+/// @file metrics_export.h Metrics in the Prometheus text format.
 
 #ifndef SORRELPLANK_SERVE_METRICS_EXPORT_H_
 #define SORRELPLANK_SERVE_METRICS_EXPORT_H_
@@ -14,23 +14,22 @@
 class Node;
 struct NodeCounters;
 
-/// Counters of the core and histograms of the process, by prometheus-cpp.
+/// Exports the core's counters and the process's own counters and histograms.
 class MetricsExport {
  public:
   explicit MetricsExport(const std::string& vm);
   ~MetricsExport();
 
-  /// A caller's request ended.
-  void CountAnswer(const std::string& service,
-                   const char* verdict,
-                   Duration took);
-  /// A message that made no sense arrived, from callers, peers, the platform
-  /// or a backend server.
+  /// Counts the response to a caller's request.
+  void CountResponse(const std::string& service,
+                     const char* verdict,
+                     Duration took);
+  /// Counts a malformed message from a caller, a peer, the platform or a
+  /// backend server.
   void CountMalformed(const std::string& from);
-  /// A lookup was answered.
   void CountLookup();
 
-  /// Everything, as the operator port serves it.
+  /// Returns all metrics as served on the operator port.
   std::string Text(Node& node,
                    uint64_t platform_calls,
                    uint64_t control_bytes,
--- a/src/serve/node_driver.cc
+++ b/src/serve/node_driver.cc
@@ -1,4 +1,4 @@
-/// @file node_driver.cc Events in, actions out.
+/// @file node_driver.cc Passes events to the core and actions to the sinks.
 
 #include "serve/node_driver.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Kinds that happen per request; they go to the ring but not to the log.
+/// Kinds that occur per request: recorded in the ring but not logged.
 bool IsPerRequest(TimelineKind kind) {
   return kind == TimelineKind::kRefused || kind == TimelineKind::kHandedOn ||
          kind == TimelineKind::kRetried;
@@ -25,33 +25,34 @@
       m_ring(timeline_events) {}
 
 void NodeDriver::Feed(Event event) {
-  m_waiting.push_back(std::move(event));
+  m_queued_events.push_back(std::move(event));
   if (m_is_feeding) {
     return;
   }
   m_is_feeding = true;
   Actions actions;
-  for (size_t next = 0; next < m_waiting.size(); ++next) {
-    const Event current = std::move(m_waiting[next]);
+  for (size_t next = 0; next < m_queued_events.size(); ++next) {
+    const Event current = std::move(m_queued_events[next]);
     actions.clear();
     m_node.Handle(current, SteadyNow(), actions);
     for (const Action& action : actions) {
-      Spread(action);
+      DeliverAction(action);
     }
   }
-  m_waiting.clear();
+  m_queued_events.clear();
   m_is_feeding = false;
 }
 
-void NodeDriver::Note(TimelineKind kind, const std::string& detail) {
-  Spread(RecordEvent{{kind, "", "", "", detail}});
+void NodeDriver::AddTimelineEvent(TimelineKind kind,
+                                  const std::string& detail) {
+  DeliverAction(RecordEvent{{kind, "", "", "", detail}});
 }
 
 uint64_t NodeDriver::NextStamp() {
   return m_clock.Next(WallNow());
 }
 
-void NodeDriver::Spread(const Action& action) {
+void NodeDriver::DeliverAction(const Action& action) {
   if (const auto* record = std::get_if<RecordEvent>(&action)) {
     const TimelineEvent& event = record->m_event;
     if (!IsPerRequest(event.m_kind)) {
--- a/src/serve/node_driver.h
+++ b/src/serve/node_driver.h
@@ -1,4 +1,4 @@
-/// @file node_driver.h Feeds the decision core and spreads its actions.
+/// @file node_driver.h Feeds the decision core and delivers its actions.
 
 #ifndef SORRELPLANK_SERVE_NODE_DRIVER_H_
 #define SORRELPLANK_SERVE_NODE_DRIVER_H_
@@ -14,38 +14,39 @@
 
 namespace sorrelplank {
 
-/// Owns the Node of this process; runs on the io thread only.
+/// Owns the Node of this process. Call on the io thread only.
 class NodeDriver {
  public:
   using Sink = std::function<void(const Action&)>;
 
   NodeDriver(NodeIdentity identity, size_t timeline_events);
 
-  /// Every action goes to every sink; each takes what is its own.
+  /// Adds a receiver of actions. Every sink gets all actions and ignores those
+  /// that it doesn't handle.
   void AddSink(Sink sink) { m_sinks.push_back(std::move(sink)); }
 
-  /// Hands an event to the core and its actions to the sinks. Events that
-  /// sinks feed meanwhile wait their turn.
+  /// Passes an event to the core and the resulting actions to the sinks. Events
+  /// that sinks feed in the meantime are queued and handled in order.
   void Feed(Event event);
 
-  /// Puts an event of the process itself on the time line.
-  void Note(TimelineKind kind, const std::string& detail);
+  /// Adds an event of the process itself to the timeline.
+  void AddTimelineEvent(TimelineKind kind, const std::string& detail);
 
   Node& Core() { return m_node; }
   const EventRing& Ring() const { return m_ring; }
   HybridClock& Clock() { return m_clock; }
 
-  /// Stamp for a message to send.
+  /// Returns the hybrid clock stamp for a message to send.
   uint64_t NextStamp();
 
  private:
-  void Spread(const Action& action);
+  void DeliverAction(const Action& action);
 
   Node m_node;
   HybridClock m_clock;
   EventRing m_ring;
   std::vector<Sink> m_sinks;
-  std::vector<Event> m_waiting;
+  std::vector<Event> m_queued_events;
   bool m_is_feeding = false;
 };
 
--- a/src/serve/operator_api.cc
+++ b/src/serve/operator_api.cc
@@ -1,4 +1,4 @@
-/// @file operator_api.cc Status, time line and explanations as JSON.
+/// @file operator_api.cc Status, timeline and explanations as JSON.
 
 #include "serve/operator_api.h"
 
@@ -10,7 +10,7 @@
 #include "platform/platform_client.h"
 #include "serve/call_parse_func.h"
 #include "serve/clock_func.h"
-#include "serve/config_spread.h"
+#include "serve/config_sync.h"
 #include "serve/error_response_func.h"
 #include "serve/metrics_export.h"
 #include "serve/node_driver.h"
@@ -89,12 +89,12 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(OperatorSources sources, CutSwitch cut)
-    : m_sources(sources), m_cut(std::move(cut)) {}
+OperatorApi::OperatorApi(OperatorSources sources, CutOffSetter set_cut_off)
+    : m_sources(sources), m_set_cut_off(std::move(set_cut_off)) {}
 
 HttpResponse OperatorApi::Answer(const HttpRequest& request) {
-  if (request.m_path == "/v1/fault/cut" && m_cut) {
-    return Cut(request);
+  if (request.m_path == "/v1/fault/cut" && m_set_cut_off) {
+    return CutOff(request);
   }
   if (request.m_method != "GET") {
     return MakeError(405, "only GET is served here");
@@ -141,8 +141,8 @@
        {"ready", node.IsReady()},
        {"stopping", node.IsStopping()},
        {"fenced", node.IsFenced()},
-       {"watches_platform", m_sources.m_spread.IsWatcher()},
-       {"platform_up", m_sources.m_spread.IsPlatformUp()},
+       {"watches_platform", m_sources.m_config_sync.IsWatcher()},
+       {"platform_up", m_sources.m_config_sync.IsPlatformUp()},
        {"open_calls", node.OpenCalls()},
        {"queued_calls", node.QueuedCalls()},
        {"slots", SlotsToJson(config, node.Slots(now))},
@@ -211,14 +211,14 @@
   return response;
 }
 
-HttpResponse OperatorApi::Cut(const HttpRequest& request) {
+HttpResponse OperatorApi::CutOff(const HttpRequest& request) {
   std::set<uint32_t> ips;
   std::stringstream list(request.m_body);
   std::string item;
   while (std::getline(list, item, ',')) {
     ips.insert(ParseIp(item));
   }
-  m_cut(std::move(ips));
+  m_set_cut_off(std::move(ips));
   return JsonResponse({{"ok", true}});
 }
 
--- a/src/serve/operator_api.h
+++ b/src/serve/operator_api.h
@@ -1,4 +1,4 @@
-/// @file operator_api.h What operators read of one entry VM.
+/// @file operator_api.h The operators' HTTP API of an entry VM.
 
 #ifndef SORRELPLANK_SERVE_OPERATOR_API_H_
 #define SORRELPLANK_SERVE_OPERATOR_API_H_
@@ -11,28 +11,29 @@
 
 namespace sorrelplank {
 
-class ConfigSpread;
+class ConfigSync;
 class MetricsExport;
 class NodeDriver;
 class PeerClient;
 class PlatformClient;
 
-/// Parts of the process that the operator port reads.
+/// The parts of the process that the API reads.
 struct OperatorSources {
   NodeDriver& m_driver;
-  const ConfigSpread& m_spread;
+  const ConfigSync& m_config_sync;
   const PlatformClient& m_platform;
   PeerClient& m_peers;
   MetricsExport& m_metrics;
 };
 
-/// Serves /metrics, /v1/status, /v1/timeline, /v1/explain and /v1/ready.
+/// Serves /metrics, /v1/status, /v1/timeline, /v1/explain and /v1/ready; with
+/// a CutOffSetter also /v1/fault/cut.
 class OperatorApi {
  public:
-  /// Takes the addresses to cut off; failure runs only.
-  using CutSwitch = std::function<void(std::set<uint32_t>)>;
+  /// Sets the addresses to cut off; fault injection only.
+  using CutOffSetter = std::function<void(std::set<uint32_t>)>;
 
-  OperatorApi(OperatorSources sources, CutSwitch cut);
+  OperatorApi(OperatorSources sources, CutOffSetter set_cut_off);
 
   HttpResponse Answer(const HttpRequest& request);
 
@@ -42,13 +43,13 @@
   HttpResponse Explain(const HttpRequest& request);
   HttpResponse Ready() const;
   HttpResponse Metrics();
-  HttpResponse Cut(const HttpRequest& request);
+  HttpResponse CutOff(const HttpRequest& request);
 
   OperatorSources m_sources;
-  CutSwitch m_cut;
+  CutOffSetter m_set_cut_off;
 };
 
-/// A lookup answer as JSON.
+/// Formats the answer to a lookup as JSON.
 std::string LookupToJson(const struct LookupAnswer& answer,
                          const struct Snapshot& config);
 
--- a/src/serve/pending_call_type.h
+++ b/src/serve/pending_call_type.h
@@ -1,4 +1,4 @@
-/// @file pending_call_type.h Requests that have no answer yet.
+/// @file pending_call_type.h Requests that have no response yet.
 
 #ifndef SORRELPLANK_SERVE_PENDING_CALL_TYPE_H_
 #define SORRELPLANK_SERVE_PENDING_CALL_TYPE_H_
@@ -27,7 +27,7 @@
   std::string m_request_id;
 };
 
-/// What the process keeps of a request until it is answered.
+/// The state of a request until its response is sent.
 struct PendingCall {
   std::variant<FromCaller, FromPeer> m_origin;
   std::string m_method;
@@ -38,13 +38,15 @@
   std::string m_request_id;
   std::string m_service_name;
   NameHash m_service;
-  bool m_keeps_answer = false;
+  bool m_keeps_response = false;
   TimePoint m_arrived{};
-  /// Answer of the current try.
-  HttpResponse m_answer;
-  /// Answer that another entry VM kept for the key.
-  std::optional<HttpResponse> m_peer_answer;
+  /// Response to the current attempt.
+  HttpResponse m_response;
+  /// Response that another entry VM has stored for the key.
+  std::optional<HttpResponse> m_peer_response;
+  /// Id of the HTTP fetch in flight; 0 if none.
   uint64_t m_fetch = 0;
+  /// Id of the call to another entry VM in flight; 0 if none.
   uint64_t m_hand_on = 0;
 };
 
--- a/tests/faults_test.cc
+++ b/tests/faults_test.cc
@@ -1,5 +1,5 @@
-/// @file faults_test.cc Tables of faults in settings, configuration and
-/// callers' header fields.
+/// @file faults_test.cc Invalid settings, configurations and header fields of
+/// callers, and the results of calls to the platform.
 
 #include <criterion/criterion.h>
 
@@ -14,7 +14,7 @@
 namespace sorrelplank {
 namespace {
 
-/// One faulty input and what the fault's line must contain.
+/// An invalid input and text that the reported fault must contain.
 struct FaultCase {
   const char* m_text;
   const char* m_expected;
@@ -23,7 +23,7 @@
 TestSuite(Faults);
 
 Test(Faults, Settings_EachFault_NamesPathAndWhatIsAllowed) {
-  const std::string sound =
+  const std::string required_settings =
       R"("name":"a","place":"p","failure_domain":"d","region":"r",)"
       R"("ip":"127.0.0.1","platform":["127.0.0.2:1"])";
   const FaultCase cases[] = {
@@ -55,7 +55,7 @@
               "%s gave %s", fault_case.m_text, lines.c_str());
   }
   cr_assert(std::holds_alternative<Settings>(
-      ParseSettings("{" + sound + "}", "s.json")));
+      ParseSettings("{" + required_settings + "}", "s.json")));
 }
 
 Test(Faults, Config_EachFault_NamesFileAndPath) {
@@ -124,7 +124,7 @@
   cr_assert(std::holds_alternative<MalformedCall>(ParseCall(nameless)));
 }
 
-Test(Faults, CallHeaders_Sound_AreRead) {
+Test(Faults, CallHeaders_Valid_AreParsed) {
   HttpRequest request;
   request.m_path = "/v1/call/read/a/b";
   request.m_raw_query = "c=d";
@@ -136,8 +136,9 @@
   cr_assert(*parsed.m_call.m_time_left == milliseconds(250));
 }
 
-// What is certain after each end of a call to the platform.
-Test(Faults, PlatformAnswers_EachEnd_SaysWhatIsCertain) {
+// An outcome must not claim more than is certain: a write that may have reached
+// the store is unknown, not unavailable.
+Test(Faults, PlatformResponses_EachFetchEnd_MapsToPlatformEnd) {
   struct Row {
     FetchEnd m_end;
     int m_status;
