--- a/bench/quota_bench.cc
+++ b/bench/quota_bench.cc
@@ -138,9 +138,10 @@
     gate.Arrived(RequestId(static_cast<uint64_t>(round)),
                  HashOrganisation(organisation.m_name), TermsOf(organisation),
                  now);
-    for (const QuotaQuestion& question : gate.TakeQuestions()) {
+    for (const AddressedQuotaRequest& question : gate.TakeQuotaRequests()) {
       gate.TakeGrant(
-          keeper.Grant(question.m_ask, TermsOf(organisation), 1, now), now);
+          keeper.Grant(question.m_quota_request, TermsOf(organisation), 1, now),
+          now);
     }
   });
   ReportBench("quota_decision_of_10000_organisations", decision, "ns", 1000);
--- a/bench/steering_bench.cc
+++ b/bench/steering_bench.cc
@@ -47,7 +47,7 @@
       std::make_unique<Steering>(settings, [](const SteerAction&) {});
   auto table = std::make_shared<RoutingTable>();
   table->m_services["s"] = {.m_name = "s",
-                            .m_most_connections = 3600,
+                            .m_max_connections = 3600,
                             .m_cold_start = seconds(3),
                             .m_cold_per_second = 2.8};
   steering->Install(table, now);
--- a/soak/notice_watch.cc
+++ b/soak/notice_watch.cc
@@ -33,15 +33,15 @@
   Notice asked{.m_request = id,
                .m_vm = life,
                .m_is_leaving = notice.m_is_leaving,
-               .m_names_limit = notice.m_most_per_second.has_value(),
+               .m_names_limit = notice.m_max_per_second.has_value(),
                .m_number = server.NoticeNumber()};
   if (notice.m_pause) {
     asked.m_paused_until = now + *notice.m_pause;
   }
   m_notices[run].push_back(asked);
-  if (notice.m_most_per_second) {
+  if (notice.m_max_per_second) {
     m_limited.try_emplace({run, server.NoticeNumber()},
-                          Limited{*notice.m_most_per_second, now, {}});
+                          Limited{*notice.m_max_per_second, now, {}});
   }
 }
 
--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -149,7 +149,7 @@
     return;
   }
   ServerNotice notice;
-  notice.m_most_per_second = 1.5 + static_cast<double>(random() % 20) / 2;
+  notice.m_max_per_second = 1.5 + static_cast<double>(random() % 20) / 2;
   AskFor(server, notice, Draw(random, seconds(2), seconds(15)));
 }
 
--- a/soak/soak_server.cc
+++ b/soak/soak_server.cc
@@ -99,10 +99,10 @@
   if (response.m_status != kUnavailable) {
     notice.m_pause.reset();
   }
-  if (notice.m_most_per_second) {
+  if (notice.m_max_per_second) {
     response.m_headers.emplace_back(
         names.m_rate_limit.front(),
-        fmt::format("{}", *notice.m_most_per_second));
+        fmt::format("{}", *notice.m_max_per_second));
   }
   if (notice.m_is_leaving) {
     response.m_headers.emplace_back(names.m_leaving.front(), "1");
@@ -112,7 +112,7 @@
         "Retry-After",
         fmt::format("{:.3f}", ToMilliseconds(*notice.m_pause) / 1000));
   }
-  if (notice.m_most_per_second || notice.m_is_leaving || notice.m_pause) {
+  if (notice.m_max_per_second || notice.m_is_leaving || notice.m_pause) {
     m_notices.m_on_notice(id, *this, notice);
   }
 }
--- a/src/proxy/front.cc
+++ b/src/proxy/front.cc
@@ -335,8 +335,8 @@
 void Front::Run(const RequestSuspected& action) {
   const CrashReport& report = action.m_report;
   m_log.Write("request_suspected",
-              {{"content", FormatDigest(report.m_fact.m_digest)},
-               {"server", report.m_fact.m_run},
+              {{"content", FormatDigest(report.m_record.m_digest)},
+               {"server", report.m_record.m_run},
                {"service", report.m_service},
                {"host", report.m_host},
                {"path", report.m_path},
@@ -354,7 +354,7 @@
 }
 
 void Front::Run(const CrashesForgotten& action) {
-  for (const CrashFact& fact : action.m_facts) {
+  for (const CrashRecord& fact : action.m_facts) {
     m_log.Write("suspicion_ended", {{"content", FormatDigest(fact.m_digest)},
                                     {"server", fact.m_run},
                                     {"reason", action.m_reason}});
--- a/src/proxy/front.h
+++ b/src/proxy/front.h
@@ -43,7 +43,7 @@
   void SetCrashTeller(CrashTeller teller) { m_tell_crash = std::move(teller); }
 
   /// Takes questions to keepers of quotas; to be sent to them.
-  using QuotaAsker = std::function<void(const QuotaQuestion&)>;
+  using QuotaAsker = std::function<void(const AddressedQuotaRequest&)>;
   void SetQuotaAsker(QuotaAsker asker) { m_ask_for_tokens = std::move(asker); }
 
   /// A client's request.
@@ -99,7 +99,7 @@
   ServerPool m_pool;
   Steering m_steering;
   CrashTeller m_tell_crash = [](const CrashNews&) {};
-  QuotaAsker m_ask_for_tokens = [](const QuotaQuestion&) {};
+  QuotaAsker m_ask_for_tokens = [](const AddressedQuotaRequest&) {};
   uint64_t m_next_request = 1;
   AnswerFields m_answer_fields;
   bool m_is_stopping = false;
--- a/src/proxy/quota_exchange.cc
+++ b/src/proxy/quota_exchange.cc
@@ -15,7 +15,7 @@
 /// Tokens in one question; a larger number was not written by an entry VM.
 constexpr uint32_t kMostTokens = 100'000;
 
-void Fill(const QuotaAsk& ask, proto::QuotaMessage& message) {
+void Fill(const QuotaRequest& ask, proto::QuotaMessage& message) {
   proto::QuotaQuestion& question = *message.mutable_question();
   question.set_subject(ask.m_subject.Get());
   question.set_number(ask.m_number);
@@ -59,10 +59,10 @@
         per_second < 0) {
       return std::nullopt;
     }
-    QuotaAsk ask{.m_subject = QuotaSubject(question.subject()),
-                 .m_number = question.number(),
-                 .m_tokens = question.tokens(),
-                 .m_limit = std::nullopt};
+    QuotaRequest ask{.m_subject = QuotaSubject(question.subject()),
+                     .m_number = question.number(),
+                     .m_tokens = question.tokens(),
+                     .m_limit = std::nullopt};
     if (question.has_limit()) {
       ask.m_limit =
           NamedLimit{per_second, milliseconds(question.limit().age_ms())};
@@ -104,10 +104,11 @@
   }
 }
 
-void QuotaExchange::Ask(const QuotaQuestion& question) {
+void QuotaExchange::Ask(const AddressedQuotaRequest& question) {
   const auto address = m_addresses.find(question.m_keeper);
   if (address != m_addresses.end()) {
-    m_socket.Send(EncodeQuotaMessage(question.m_ask), address->second);
+    m_socket.Send(EncodeQuotaMessage(question.m_quota_request),
+                  address->second);
   }
 }
 
@@ -116,7 +117,7 @@
   if (!message) {
     return false;
   }
-  if (const auto* ask = std::get_if<QuotaAsk>(&*message)) {
+  if (const auto* ask = std::get_if<QuotaRequest>(&*message)) {
     m_socket.Send(EncodeQuotaMessage(m_answerer(*ask)), sender);
   } else {
     m_handler(std::get<QuotaGrant>(*message));
--- a/src/proxy/quota_exchange.h
+++ b/src/proxy/quota_exchange.h
@@ -18,7 +18,7 @@
 
 namespace sorrelplank {
 
-using QuotaMessage = std::variant<QuotaAsk, QuotaGrant>;
+using QuotaMessage = std::variant<QuotaRequest, QuotaGrant>;
 
 /// The bytes of a datagram.
 std::string EncodeQuotaMessage(const QuotaMessage& message);
@@ -31,7 +31,7 @@
 /// asked again at another keeper; a lost answer wastes its tokens.
 class QuotaExchange {
  public:
-  using Answerer = std::function<QuotaGrant(const QuotaAsk&)>;
+  using Answerer = std::function<QuotaGrant(const QuotaRequest&)>;
   using GrantHandler = std::function<void(const QuotaGrant&)>;
 
   /// Listens at once; throws std::system_error where it cannot.
@@ -42,7 +42,7 @@
 
   /// Addresses of entry VMs by name; their port for quotas is the own one.
   void SetFleet(const std::vector<FleetMember>& fleet);
-  void Ask(const QuotaQuestion& question);
+  void Ask(const AddressedQuotaRequest& question);
 
   const DatagramSocket& Socket() const { return m_socket; }
 
--- a/src/proxy/server_notice.cc
+++ b/src/proxy/server_notice.cc
@@ -45,8 +45,8 @@
   if (!limit) {
     return;
   }
-  notice.m_most_per_second =
-      std::min(*limit, notice.m_most_per_second.value_or(*limit));
+  notice.m_max_per_second =
+      std::min(*limit, notice.m_max_per_second.value_or(*limit));
 }
 
 void ReadLeaving(const std::string& value, ServerNotice& notice) {
--- a/src/proxy/server_pool.h
+++ b/src/proxy/server_pool.h
@@ -16,7 +16,7 @@
 #include "core/time_type.h"
 #include "core/vm_record_type.h"
 #include "proxy/server_reply_type.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 
 namespace asio {
 class io_context;
--- a/src/proxy/server_probe.cc
+++ b/src/proxy/server_probe.cc
@@ -10,10 +10,11 @@
 
 ServerReach ReachOf(std::error_code error) {
   if (!error) {
-    return ServerReach::kOpens;
+    return ServerReach::kAcceptsConnections;
   }
-  return error == asio::error::connection_refused ? ServerReach::kRefuses
-                                                  : ServerReach::kUnknown;
+  return error == asio::error::connection_refused
+             ? ServerReach::kRefusesConnections
+             : ServerReach::kUnknown;
 }
 
 }  // namespace
--- a/src/proxy/server_probe.h
+++ b/src/proxy/server_probe.h
@@ -9,7 +9,7 @@
 
 #include "core/time_type.h"
 #include "core/vm_record_type.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 
 namespace sorrelplank {
 
--- a/src/steer/crash_register.h
+++ b/src/steer/crash_register.h
@@ -1,4 +1,4 @@
-/// @file crash_register.h Requests that servers ended under.
+/// @file crash_register.h Tracks requests that crash backend servers.
 
 #ifndef SORRELPLANK_STEER_CRASH_REGISTER_H_
 #define SORRELPLANK_STEER_CRASH_REGISTER_H_
@@ -10,61 +10,61 @@
 #include <vector>
 
 #include "core/time_type.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 
 namespace sorrelplank {
 
-/// Decides which requests are held back because servers end when they run them.
+/// Decides which requests are held back because they crash backend servers.
 ///
 /// Load pattern: a caller repeats a request that crashes each server that runs
-/// it, at any entry VM; servers are back seconds later, and end again. A server
-/// that ends takes other requests along, so one end says little of a request.
-/// A request that was at `kEndsToHold` ends, without an answer in between, is
-/// held back.
+/// it, through any entry VM; servers restart within seconds and crash again. A
+/// crash also hits the other requests at the server, so a single crash is weak
+/// evidence. A request is held back after `kCrashesToHoldBack` crashes without
+/// a response in between.
 ///
-/// It holds facts of all entry VMs, in any order; each run counts once.
+/// Takes records of all entry VMs in any order; each run counts once.
 class CrashRegister {
  public:
-  /// Ends of servers under one request after which no more are risked.
-  static constexpr size_t kEndsToHold = 3;
+  /// Crashes after which a request is held back.
+  static constexpr size_t kCrashesToHoldBack = 3;
 
-  /// What a new fact has changed.
+  /// Effect of a new record.
   enum class Change {
-    kNone,       ///< It was known.
-    kSuspected,  ///< One more server ended under the request.
-    kHeld,       ///< And from now on it is held back.
+    kNone,       ///< The record was known.
+    kSuspected,  ///< One more crash counts for the request.
+    kHeld,       ///< The request is held back from now on.
   };
 
-  /// Takes a fact that is as old as given.
-  Change Note(const CrashFact& fact, Duration age, TimePoint now);
-  /// The fact no longer counts.
-  void Remove(const CrashFact& fact);
-  /// The request was answered: it does not end servers. The facts that were
-  /// known of it.
-  std::vector<CrashFact> Clear(const RequestDigest& digest);
-
-  /// Servers that ended under the request, as far as that still counts.
-  size_t Ends(const RequestDigest& digest, TimePoint now) const;
-  bool IsHeld(const RequestDigest& digest, TimePoint now) const;
-  /// How much longer it is held back; zero if it is not.
-  Duration HeldFor(const RequestDigest& digest, TimePoint now) const;
-
-  /// Facts that no longer count, each told once. Which of them this VM removes
-  /// from the store differs by its spread, 0 to 1, so that not all VMs do so at
-  /// the same moment.
-  std::vector<CrashFact> TakeExpired(double spread, TimePoint now);
+  /// Adds a record of the given age.
+  Change Add(const CrashRecord& record, Duration age, TimePoint now);
+  /// Removes one record.
+  void Remove(const CrashRecord& record);
+  /// Removes and returns all records of a request. Called when a server answers
+  /// it, which shows that it does not crash servers.
+  std::vector<CrashRecord> Clear(const RequestDigest& digest);
+
+  /// Crashes during the request that have not expired.
+  size_t CrashCount(const RequestDigest& digest, TimePoint now) const;
+  bool IsHeldBack(const RequestDigest& digest, TimePoint now) const;
+  /// Time until the request is no longer held back; zero if it is not.
+  Duration HeldBackTimeLeft(const RequestDigest& digest, TimePoint now) const;
+
+  /// Removes and returns expired records, so that the caller removes them from
+  /// the store. `spread`, 0 to 1, delays this per VM; all VMs would otherwise
+  /// remove them at the same moment.
+  std::vector<CrashRecord> TakeExpired(double spread, TimePoint now);
 
   size_t SuspectCount() const { return m_suspects.size(); }
-  size_t HeldCount(TimePoint now) const;
+  size_t HeldBackCount(TimePoint now) const;
 
  private:
   struct Suspect {
-    /// When each run ended.
-    std::map<std::string, TimePoint> m_ends;
+    /// Time of the crash, by run.
+    std::map<std::string, TimePoint> m_crash_times;
 
-    TimePoint LastEnd() const;
-    /// Until when the facts count.
-    TimePoint CountsUntil() const;
+    TimePoint LastCrash() const;
+    /// When the records expire.
+    TimePoint ExpiresAt() const;
   };
 
   void DropOldest();
--- a/src/steer/domain_breaker.cc
+++ b/src/steer/domain_breaker.cc
@@ -1,4 +1,4 @@
-/// @file domain_breaker.cc Opening, trials, closing.
+/// @file domain_breaker.cc States of the failure domain circuit breaker.
 
 #include "steer/domain_breaker.h"
 
@@ -8,34 +8,36 @@
 
 namespace {
 
-/// Distinct servers out of reach, with none reached in between. Fewer may be
-/// servers that crashed by themselves; the smallest domains have six.
-constexpr size_t kServersToOpen = 4;
-/// Pause between trials; it doubles up to the longest. The first one is short
-/// beside the seconds that a restart takes.
-constexpr Duration kFirstInterval = milliseconds(400);
-constexpr Duration kLongestInterval = milliseconds(1600);
+/// Distinct unreachable servers, with none reached in between, that open the
+/// breaker. Fewer may be independent crashes; the smallest domains have six
+/// servers.
+constexpr size_t kUnreachableServersToOpen = 4;
+/// Interval between probes; it doubles up to the maximum. The initial one is
+/// short compared with the seconds that a restart takes.
+constexpr Duration kInitialProbeInterval = milliseconds(400);
+constexpr Duration kMaxProbeInterval = milliseconds(1600);
 
 }  // namespace
 
 bool DomainBreaker::HasTripped() const {
-  return m_unreached.size() >= kServersToOpen;
+  return m_unreachable_instances.size() >= kUnreachableServersToOpen;
 }
 
-bool DomainBreaker::CountUnreached(const std::string& instance, TimePoint now) {
+bool DomainBreaker::CountConnectFailure(const std::string& instance,
+                                        TimePoint now) {
   const bool had_tripped = HasTripped();
-  m_unreached.insert(instance);
+  m_unreachable_instances.insert(instance);
   if (had_tripped || !HasTripped()) {
     return false;
   }
-  m_interval = kFirstInterval;
-  m_open_until = now + m_interval;
+  m_probe_interval = kInitialProbeInterval;
+  m_open_until = now + m_probe_interval;
   return true;
 }
 
-bool DomainBreaker::CountReached() {
+bool DomainBreaker::CountConnectSuccess() {
   const bool had_tripped = HasTripped();
-  m_unreached.clear();
+  m_unreachable_instances.clear();
   m_open_until = TimePoint();
   return had_tripped;
 }
@@ -44,8 +46,8 @@
   if (!HasTripped() || IsOpen(now)) {
     return false;
   }
-  m_interval = std::min(2 * m_interval, kLongestInterval);
-  m_open_until = now + m_interval;
+  m_probe_interval = std::min(2 * m_probe_interval, kMaxProbeInterval);
+  m_open_until = now + m_probe_interval;
   return true;
 }
 
--- a/src/steer/domain_breaker.h
+++ b/src/steer/domain_breaker.h
@@ -1,4 +1,4 @@
-/// @file domain_breaker.h Notices that a whole failure domain is out of reach.
+/// @file domain_breaker.h Circuit breaker for an unreachable failure domain.
 
 #ifndef SORRELPLANK_STEER_DOMAIN_BREAKER_H_
 #define SORRELPLANK_STEER_DOMAIN_BREAKER_H_
@@ -12,34 +12,36 @@
 
 /// A circuit breaker over the backend servers of one failure domain.
 ///
-/// Load pattern: a domain loses power or is cut off. Each of its servers would
-/// be found out by a request of its own, which waits for the time limit on
-/// opening a connection; in large fleets a VM meets one server every few
-/// seconds, so that takes longer than the failure lasts. Several servers out of
-/// reach, and none that answers, say the same of all others.
+/// Load pattern: a domain loses power or is cut off. Without the breaker each
+/// of its servers would be found unreachable by a separate request, which waits
+/// for the connect timeout. In large fleets a VM sends to one of these servers
+/// every few seconds, so that takes longer than the failure lasts. Several
+/// unreachable servers, with none reached in between, open the breaker for the
+/// whole domain.
 class DomainBreaker {
  public:
-  /// A connection to the instance could not be opened; true if this opened the
-  /// breaker.
-  bool CountUnreached(const std::string& instance, TimePoint now);
+  /// Counts a failed connection to the instance. Returns true if this opened
+  /// the breaker.
+  bool CountConnectFailure(const std::string& instance, TimePoint now);
 
-  /// A server of the domain took a request; true if this closed the breaker.
-  bool CountReached();
+  /// Counts a request that a server of the domain accepted. Returns true if
+  /// this closed the breaker.
+  bool CountConnectSuccess();
 
-  /// Whether requests are to be kept away. Once an interval it lets one through
-  /// as a trial.
+  /// Whether requests must not be sent to the domain. One request per probe
+  /// interval is let through as a probe.
   bool IsOpen(TimePoint now) const { return now < m_open_until; }
 
-  /// A request is sent to the domain; true if it is a trial, after which the
-  /// breaker is open again.
+  /// Counts a request sent to the domain. Returns true if it is a probe; the
+  /// breaker is open again until the next one.
   bool CountSend(TimePoint now);
 
  private:
   bool HasTripped() const;
 
-  std::set<std::string> m_unreached;
+  std::set<std::string> m_unreachable_instances;
   TimePoint m_open_until{};
-  Duration m_interval{};
+  Duration m_probe_interval{};
 };
 
 }  // namespace sorrelplank
--- a/src/steer/notice_archive.cc
+++ b/src/steer/notice_archive.cc
@@ -1,4 +1,4 @@
-/// @file notice_archive.cc Notices by instance.
+/// @file notice_archive.cc Storage and expiry of archived notices.
 
 #include "steer/notice_archive.h"
 
@@ -7,26 +7,27 @@
 void NoticeArchive::Put(const ServerEntry& entry,
                         const ServerNotices& notices,
                         TimePoint now) {
-  ForgetOld(now);
-  if (notices.IsAnyInForce(now) && m_kept.size() < kMostKept) {
-    m_kept[entry.m_instance] = {entry, notices, now};
+  RemoveExpired(now);
+  if (notices.IsAnyInForce(now) && m_archived.size() < kMaxArchived) {
+    m_archived[entry.m_instance] = {entry, notices, now};
   }
 }
 
 ServerNotices NoticeArchive::Take(const ServerEntry& entry, TimePoint now) {
-  ForgetOld(now);
-  const auto it = m_kept.find(entry.m_instance);
-  if (it == m_kept.end()) {
+  RemoveExpired(now);
+  const auto it = m_archived.find(entry.m_instance);
+  if (it == m_archived.end()) {
     return {};
   }
-  const Kept kept = it->second;
-  m_kept.erase(it);
-  return IsSameRun(kept.m_entry, entry) ? kept.m_notices : ServerNotices();
+  const ArchivedNotices archived = it->second;
+  m_archived.erase(it);
+  return IsSameRun(archived.m_entry, entry) ? archived.m_notices
+                                            : ServerNotices();
 }
 
-void NoticeArchive::ForgetOld(TimePoint now) {
-  std::erase_if(m_kept, [now](const auto& one) {
-    return now - one.second.m_put > kLongestKept;
+void NoticeArchive::RemoveExpired(TimePoint now) {
+  std::erase_if(m_archived, [now](const auto& one) {
+    return now - one.second.m_archived_at > kMaxArchiveTime;
   });
 }
 
--- a/src/steer/notice_archive.h
+++ b/src/steer/notice_archive.h
@@ -1,4 +1,4 @@
-/// @file notice_archive.h Notices of backend servers that are not listed.
+/// @file notice_archive.h Notices of backend servers whose entries are gone.
 
 #ifndef SORRELPLANK_STEER_NOTICE_ARCHIVE_H_
 #define SORRELPLANK_STEER_NOTICE_ARCHIVE_H_
@@ -13,33 +13,34 @@
 
 namespace sorrelplank {
 
-/// Keeps what servers asked while their entries are away. An entry may lapse in
-/// an outage of the store while its server runs on; listed again it is the same
-/// run, and what it asked still holds.
+/// Keeps the notices of servers whose entries were removed. An entry may expire
+/// during an outage of the store while its server keeps running; once listed
+/// again it is the same run, and its notices still apply.
 class NoticeArchive {
  public:
-  /// The server is no longer listed.
+  /// Archives the notices of a server that is no longer listed.
   void Put(const ServerEntry& entry,
            const ServerNotices& notices,
            TimePoint now);
-  /// What the run asked before; nothing in force where it is another run.
+  /// Removes and returns the notices of the instance; empty ones if the entry
+  /// is of another run.
   ServerNotices Take(const ServerEntry& entry, TimePoint now);
 
  private:
-  /// Entries are back within seconds of the store's return.
-  static constexpr Duration kLongestKept = seconds(600);
-  static constexpr size_t kMostKept = 4096;
+  /// Entries return within seconds after the store does.
+  static constexpr Duration kMaxArchiveTime = seconds(600);
+  static constexpr size_t kMaxArchived = 4096;
 
-  struct Kept {
+  struct ArchivedNotices {
     ServerEntry m_entry;
     ServerNotices m_notices;
-    TimePoint m_put;
+    TimePoint m_archived_at;
   };
 
-  void ForgetOld(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
-  /// By the server's instance.
-  std::map<std::string, Kept> m_kept;
+  /// By instance.
+  std::map<std::string, ArchivedNotices> m_archived;
 };
 
 }  // namespace sorrelplank
--- a/src/steer/organisation_index.cc
+++ b/src/steer/organisation_index.cc
@@ -1,4 +1,4 @@
-/// @file organisation_index.cc Look-up by key.
+/// @file organisation_index.cc Lookup by key and name.
 
 #include "steer/organisation_index.h"
 
--- a/src/steer/organisation_index.h
+++ b/src/steer/organisation_index.h
@@ -1,4 +1,4 @@
-/// @file organisation_index.h Finds the organisation that holds a key.
+/// @file organisation_index.h Lookup of organisations by key and name.
 
 #ifndef SORRELPLANK_STEER_ORGANISATION_INDEX_H_
 #define SORRELPLANK_STEER_ORGANISATION_INDEX_H_
@@ -13,14 +13,15 @@
 struct Organisation;
 struct RoutingTable;
 
-/// Organisations by key.
+/// Organisations by API key and by hashed name.
 class OrganisationIndex {
  public:
   /// The table must outlive the index.
   explicit OrganisationIndex(const RoutingTable& table);
 
-  /// The organisation that holds the key, or nullptr.
+  /// The organisation with the key, or nullptr.
   const Organisation* Find(const std::string& key) const;
+  /// The organisation with the hashed name, or nullptr.
   const Organisation* FindByName(QuotaSubject name) const;
 
  private:
--- a/src/steer/quota_bounds_type.h
+++ b/src/steer/quota_bounds_type.h
@@ -1,4 +1,4 @@
-/// @file quota_bounds_type.h How exactly quotas must hold.
+/// @file quota_bounds_type.h How far a quota may be exceeded.
 
 #ifndef SORRELPLANK_STEER_QUOTA_BOUNDS_TYPE_H_
 #define SORRELPLANK_STEER_QUOTA_BOUNDS_TYPE_H_
@@ -7,11 +7,11 @@
 
 namespace sorrelplank {
 
-/// In any window rate x window + burst requests may run, more by the
-/// excess and the slack: (rate x window + burst) x (1 + excess) + slack.
+/// Tolerance of a distributed quota. In any window at most (rate x window +
+/// burst) x (1 + excess) + slack requests may run.
 struct QuotaBounds {
   Duration m_window = seconds(5);
-  /// A part; no unit.
+  /// Fraction; no unit.
   double m_excess = 0;
   /// Requests.
   double m_slack = 0;
--- a/src/steer/quota_directory.cc
+++ b/src/steer/quota_directory.cc
@@ -1,4 +1,4 @@
-/// @file quota_directory.cc Highest random weight over the VMs of a region.
+/// @file quota_directory.cc Rendezvous hashing over the VMs of a region.
 
 #include "steer/quota_directory.h"
 
@@ -11,7 +11,7 @@
 
 void QuotaDirectory::SetFleet(const std::vector<FleetMember>& fleet) {
   m_vms_by_region.clear();
-  m_found.clear();
+  m_keeper_cache.clear();
   for (const FleetMember& member : fleet) {
     m_vms_by_region[member.m_region].push_back(member.m_vm);
   }
@@ -24,7 +24,7 @@
   if (vms == m_vms_by_region.end()) {
     return none;
   }
-  std::string& keeper = m_found[region][subject];
+  std::string& keeper = m_keeper_cache[region][subject];
   if (keeper.empty()) {
     const auto weight = [subject](const std::string& vm) {
       return XXH3_64bits_withSeed(vm.data(), vm.size(), subject.Get());
--- a/src/steer/quota_directory.h
+++ b/src/steer/quota_directory.h
@@ -1,4 +1,4 @@
-/// @file quota_directory.h Which entry VM keeps which quota.
+/// @file quota_directory.h Assigns quotas to the entry VMs that keep them.
 
 #ifndef SORRELPLANK_STEER_QUOTA_DIRECTORY_H_
 #define SORRELPLANK_STEER_QUOTA_DIRECTORY_H_
@@ -13,17 +13,18 @@
 
 namespace sorrelplank {
 
-/// One keeper a region for each quota, by highest random weight: entry
-/// VMs with the same fleet agree without a message, and a VM that comes or goes
-/// moves only its own quotas.
+/// Each quota has one keeper per region, an entry VM that grants its tokens,
+/// chosen by rendezvous hashing (highest random weight): entry VMs that know
+/// the same fleet agree without messages, and a VM that joins or leaves moves
+/// only its own quotas.
 ///
-/// One for all regions was weighed: its loss stops a quota everywhere,
-/// and two thirds of the questions cross regions.
+/// With a single keeper for all regions, its loss would stop a quota
+/// everywhere, and two thirds of the quota requests would cross regions.
 class QuotaDirectory {
  public:
   void SetFleet(const std::vector<FleetMember>& fleet);
 
-  /// Name of the keeper's VM; empty for a region without VMs.
+  /// Name of the keeper VM; empty for a region without VMs.
   const std::string& KeeperIn(const std::string& region,
                               QuotaSubject subject) const;
 
@@ -31,8 +32,8 @@
   using Keepers = std::unordered_map<QuotaSubject, std::string>;
 
   std::map<std::string, std::vector<std::string>> m_vms_by_region;
-  /// Found so far, by region.
-  mutable std::map<std::string, Keepers> m_found;
+  /// Keepers computed so far, by region.
+  mutable std::map<std::string, Keepers> m_keeper_cache;
 };
 
 }  // namespace sorrelplank
--- a/src/steer/quota_gate.cc
+++ b/src/steer/quota_gate.cc
@@ -1,4 +1,4 @@
-/// @file quota_gate.cc Taking tokens and asking for them.
+/// @file quota_gate.cc Taking tokens and requesting them from keepers.
 
 #include "steer/quota_gate.h"
 
@@ -6,32 +6,33 @@
 #include <cmath>
 #include <utility>
 
-#include "steer/quota_part_func.h"
+#include "steer/quota_share_func.h"
 
 namespace sorrelplank {
 
 namespace {
 
-/// Time over which the rate of requests is measured.
-constexpr Duration kRateSpan = seconds(1);
-/// Tokens are asked for ahead for the requests of this time.
-constexpr Duration kAhead = milliseconds(250);
-/// A token that is not used for so long is dropped: used in a later window, it
-/// would count there beside that window's own.
-constexpr Duration kTokenLife = seconds(1);
-/// A keeper that does not answer for so long is passed over; two ways between
-/// regions take 40 to 110 ms.
+/// Time constant of the request rate estimate.
+constexpr Duration kRateDecayTime = seconds(1);
+/// Tokens are prefetched for the requests expected within this time.
+constexpr Duration kPrefetchTime = milliseconds(250);
+/// Unused tokens are dropped after this time: used in a later window, they
+/// would add to that window's own tokens.
+constexpr Duration kTokenLifetime = seconds(1);
+/// Response timeout, after which the next keeper is asked; a round trip between
+/// regions takes 40 to 110 ms.
 constexpr Duration kAnswerTimeout = milliseconds(150);
-/// And not asked again for so long.
-constexpr Duration kSilence = seconds(1);
-/// An answer that there is no token holds for so long; asked for each request,
-/// the keepers of an organisation far over its limit had nothing else to do.
-constexpr Duration kRefusalHolds = milliseconds(100);
-/// Accounts without requests are forgotten.
-constexpr Duration kUnusedFor = seconds(60);
+/// A keeper that timed out is not asked again for this time.
+constexpr Duration kSilentKeeperBackoff = seconds(1);
+/// How long a refusal of all keepers is cached. Without the cache, an
+/// organisation far over its limit would overload its keepers with a quota
+/// request for each request.
+constexpr Duration kRefusalCacheTime = milliseconds(100);
+/// Accounts without requests for this time are dropped.
+constexpr Duration kUnusedExpiry = seconds(60);
 constexpr Duration kSweepInterval = seconds(5);
-/// Told to come back where no keeper was within reach.
-constexpr Duration kOutOfReachWait = milliseconds(300);
+/// Retry-After if no keeper was reachable.
+constexpr Duration kUnreachableRetryAfter = milliseconds(300);
 
 }  // namespace
 
@@ -40,7 +41,7 @@
 
 void QuotaGate::SetFleet(const std::vector<FleetMember>& fleet) {
   m_directory.SetFleet(fleet);
-  m_vms = std::max<size_t>(1, fleet.size());
+  m_vm_count = std::max<size_t>(1, fleet.size());
 }
 
 QuotaVerdict QuotaGate::Arrived(RequestId request,
@@ -49,13 +50,13 @@
                                 TimePoint now) {
   Account& account = m_accounts[subject];
   CountArrival(account, now);
-  const QuotaPart alone = PartOutOfReach(terms, m_bounds, m_vms);
-  if (account.m_alone) {
-    account.m_alone->SetPart(alone, now);
+  const QuotaShare fallback = FallbackShare(terms, m_bounds, m_vm_count);
+  if (account.m_fallback_bucket) {
+    account.m_fallback_bucket->SetShare(fallback, now);
   }
   if (TakeToken(account, now)) {
-    const bool runs_low = account.m_tokens * 2 < TokensAhead(account);
-    if (runs_low && !account.m_open && now >= account.m_refused_until) {
+    const bool runs_low = account.m_tokens * 2 < TokensToPrefetch(account);
+    if (runs_low && !account.m_pending && now >= account.m_refused_until) {
       Ask(subject, account, 0, false, now);
     }
     return QuotaVerdict::kPass;
@@ -63,20 +64,22 @@
   if (now < account.m_refused_until) {
     return VerdictWithoutToken(account, now);
   }
-  // Where no keeper answered lately, requests do not wait for one that might.
-  const bool is_asked = account.m_open || Ask(subject, account, 0, false, now);
-  account.m_was_reached &= is_asked;
-  if (account.m_was_reached) {
+  // If no keeper responded to the last quota request, requests do not wait for
+  // one that might.
+  const bool is_sent =
+      account.m_pending || Ask(subject, account, 0, false, now);
+  account.m_has_reached_keeper &= is_sent;
+  if (account.m_has_reached_keeper) {
     account.m_waiting.push_back(request);
     return QuotaVerdict::kWait;
   }
-  if (!account.m_alone) {
-    account.m_alone.emplace(alone, now);
+  if (!account.m_fallback_bucket) {
+    account.m_fallback_bucket.emplace(fallback, now);
   }
   return VerdictWithoutToken(account, now);
 }
 
-void QuotaGate::Left(RequestId request, QuotaSubject subject) {
+void QuotaGate::CancelWait(RequestId request, QuotaSubject subject) {
   const auto account = m_accounts.find(subject);
   if (account != m_accounts.end()) {
     account->second.m_waiting.remove(request);
@@ -89,15 +92,15 @@
     return;
   }
   Account& account = it->second;
-  if (now >= account.m_tokens_end) {
+  if (now >= account.m_tokens_expire_at) {
     account.m_tokens = 0;
-    account.m_tokens_end = now + kTokenLife;
+    account.m_tokens_expire_at = now + kTokenLifetime;
   }
   ++account.m_tokens;
 }
 
-std::vector<QuotaQuestion> QuotaGate::TakeQuestions() {
-  return std::exchange(m_questions, {});
+std::vector<AddressedQuotaRequest> QuotaGate::TakeQuotaRequests() {
+  return std::exchange(m_quota_requests, {});
 }
 
 std::vector<QuotaOutcome> QuotaGate::TakeGrant(const QuotaGrant& grant,
@@ -110,24 +113,25 @@
   Account& account = it->second;
   if (grant.m_tokens > 0) {
     account.m_tokens =
-        (now < account.m_tokens_end ? account.m_tokens : 0) + grant.m_tokens;
-    account.m_tokens_end = now + kTokenLife;
+        (now < account.m_tokens_expire_at ? account.m_tokens : 0) +
+        grant.m_tokens;
+    account.m_tokens_expire_at = now + kTokenLifetime;
   }
   const bool is_awaited =
-      account.m_open && account.m_open->m_number == grant.m_number;
+      account.m_pending && account.m_pending->m_number == grant.m_number;
   if (is_awaited) {
-    Open open = *std::exchange(account.m_open, std::nullopt);
+    PendingRequest pending = *std::exchange(account.m_pending, std::nullopt);
     if (grant.m_is_keeper) {
-      open.m_was_reached = true;
-      account.m_was_reached = true;
-      account.m_alone.reset();
-      account.m_wait = grant.m_wait;
+      pending.m_has_reached_keeper = true;
+      account.m_has_reached_keeper = true;
+      account.m_fallback_bucket.reset();
+      account.m_retry_after = grant.m_wait;
     }
     ServeWaiting(account, now, outcomes);
-    const bool is_short = grant.m_tokens < open.m_tokens;
-    open.m_region += is_short ? 1 : 0;
+    const bool is_short = grant.m_tokens < pending.m_tokens;
+    pending.m_region += is_short ? 1 : 0;
     if (is_short || !account.m_waiting.empty()) {
-      AskNext(grant.m_subject, account, open, now, outcomes);
+      AskNext(grant.m_subject, account, pending, now, outcomes);
     }
     return outcomes;
   }
@@ -137,41 +141,45 @@
 
 std::vector<QuotaOutcome> QuotaGate::Tick(TimePoint now) {
   std::vector<QuotaOutcome> outcomes;
-  while (!m_asked.empty() && now - m_asked.front().m_at >= kAnswerTimeout) {
-    const Asked asked = m_asked.front();
-    m_asked.pop_front();
-    const auto it = m_accounts.find(asked.m_subject);
-    const bool is_silent = it != m_accounts.end() && it->second.m_open &&
-                           it->second.m_open->m_number == asked.m_number;
+  while (!m_sent_requests.empty() &&
+         now - m_sent_requests.front().m_sent_at >= kAnswerTimeout) {
+    const SentRequest sent = m_sent_requests.front();
+    m_sent_requests.pop_front();
+    const auto it = m_accounts.find(sent.m_subject);
+    const bool is_silent = it != m_accounts.end() && it->second.m_pending &&
+                           it->second.m_pending->m_number == sent.m_number;
     if (!is_silent) {
       continue;
     }
     Account& account = it->second;
-    Open open = *std::exchange(account.m_open, std::nullopt);
-    m_silent[open.m_keeper] = now + kSilence;
-    ++open.m_region;
-    AskNext(asked.m_subject, account, open, now, outcomes);
+    PendingRequest pending = *std::exchange(account.m_pending, std::nullopt);
+    m_silent_keepers[pending.m_keeper] = now + kSilentKeeperBackoff;
+    ++pending.m_region;
+    AskNext(sent.m_subject, account, pending, now, outcomes);
   }
-  std::erase_if(m_silent, [now](const auto& one) { return now >= one.second; });
+  std::erase_if(m_silent_keepers,
+                [now](const auto& one) { return now >= one.second; });
   ForgetUnused(now);
   return outcomes;
 }
 
 void QuotaGate::ForgetUnused(TimePoint now) {
-  if (now - m_swept < kSweepInterval) {
+  if (now - m_last_sweep < kSweepInterval) {
     return;
   }
-  m_swept = now;
+  m_last_sweep = now;
   std::erase_if(m_accounts, [now](const auto& one) {
     const Account& account = one.second;
-    return account.m_waiting.empty() && now - account.m_arrived > kUnusedFor;
+    return account.m_waiting.empty() &&
+           now - account.m_last_arrival > kUnusedExpiry;
   });
 }
 
-Duration QuotaGate::ComeBackAfter(QuotaSubject subject) const {
+Duration QuotaGate::RetryAfter(QuotaSubject subject) const {
   const auto it = m_accounts.find(subject);
-  const bool is_known = it != m_accounts.end() && it->second.m_was_reached;
-  return is_known ? it->second.m_wait : kOutOfReachWait;
+  const bool is_known =
+      it != m_accounts.end() && it->second.m_has_reached_keeper;
+  return is_known ? it->second.m_retry_after : kUnreachableRetryAfter;
 }
 
 bool QuotaGate::IsRefused(QuotaSubject subject, TimePoint now) const {
@@ -180,7 +188,8 @@
     return false;
   }
   const Account& account = it->second;
-  const bool has_tokens = account.m_tokens > 0 && now < account.m_tokens_end;
+  const bool has_tokens =
+      account.m_tokens > 0 && now < account.m_tokens_expire_at;
   return !has_tokens && now < account.m_refused_until;
 }
 
@@ -193,19 +202,20 @@
 }
 
 void QuotaGate::CountArrival(Account& account, TimePoint now) const {
-  const double passed = ToMilliseconds(now - account.m_arrived);
+  const double passed = ToMilliseconds(now - account.m_last_arrival);
   account.m_recent =
-      account.m_recent * std::exp(-passed / ToMilliseconds(kRateSpan)) + 1;
-  account.m_arrived = now;
+      account.m_recent * std::exp(-passed / ToMilliseconds(kRateDecayTime)) + 1;
+  account.m_last_arrival = now;
 }
 
-uint32_t QuotaGate::TokensAhead(const Account& account) const {
-  return static_cast<uint32_t>(account.m_recent * ToMilliseconds(kAhead) /
-                               ToMilliseconds(kRateSpan));
+uint32_t QuotaGate::TokensToPrefetch(const Account& account) const {
+  return static_cast<uint32_t>(account.m_recent *
+                               ToMilliseconds(kPrefetchTime) /
+                               ToMilliseconds(kRateDecayTime));
 }
 
 bool QuotaGate::TakeToken(Account& account, TimePoint now) const {
-  if (account.m_tokens == 0 || now >= account.m_tokens_end) {
+  if (account.m_tokens == 0 || now >= account.m_tokens_expire_at) {
     return false;
   }
   --account.m_tokens;
@@ -215,23 +225,25 @@
 bool QuotaGate::Ask(QuotaSubject subject,
                     Account& account,
                     size_t region,
-                    bool was_reached,
+                    bool has_reached_keeper,
                     TimePoint now) {
   for (; region < m_regions.size(); ++region) {
     const std::string& keeper =
         m_directory.KeeperIn(m_regions[region], subject);
-    if (keeper.empty() || m_silent.contains(keeper)) {
+    if (keeper.empty() || m_silent_keepers.contains(keeper)) {
       continue;
     }
-    const auto wanted = static_cast<uint32_t>(
-        std::max<size_t>(1, account.m_waiting.size()) + TokensAhead(account));
-    account.m_open = Open{m_next_number, wanted, keeper, region, was_reached};
-    m_asked.push_back({subject, m_next_number, now});
-    m_questions.push_back({keeper,
-                           {.m_subject = subject,
-                            .m_number = m_next_number,
-                            .m_tokens = wanted,
-                            .m_limit = std::nullopt}});
+    const auto wanted =
+        static_cast<uint32_t>(std::max<size_t>(1, account.m_waiting.size()) +
+                              TokensToPrefetch(account));
+    account.m_pending = PendingRequest{m_next_number, wanted, keeper, region,
+                                       has_reached_keeper};
+    m_sent_requests.push_back({subject, m_next_number, now});
+    m_quota_requests.push_back({keeper,
+                                {.m_subject = subject,
+                                 .m_number = m_next_number,
+                                 .m_tokens = wanted,
+                                 .m_limit = std::nullopt}});
     ++m_next_number;
     return true;
   }
@@ -249,13 +261,13 @@
 
 void QuotaGate::AskNext(QuotaSubject subject,
                         Account& account,
-                        const Open& before,
+                        const PendingRequest& previous,
                         TimePoint now,
                         std::vector<QuotaOutcome>& outcomes) {
-  const bool is_asked =
-      Ask(subject, account, before.m_region, before.m_was_reached, now);
-  if (!is_asked) {
-    account.m_was_reached = before.m_was_reached;
+  const bool is_sent = Ask(subject, account, previous.m_region,
+                           previous.m_has_reached_keeper, now);
+  if (!is_sent) {
+    account.m_has_reached_keeper = previous.m_has_reached_keeper;
     RefuseWaiting(account, now, outcomes);
   }
 }
@@ -264,7 +276,7 @@
                               TimePoint now,
                               std::vector<QuotaOutcome>& outcomes) {
   if (account.m_tokens == 0) {
-    account.m_refused_until = now + kRefusalHolds;
+    account.m_refused_until = now + kRefusalCacheTime;
   }
   for (const RequestId request : account.m_waiting) {
     outcomes.push_back({request, VerdictWithoutToken(account, now)});
@@ -274,11 +286,12 @@
 
 QuotaVerdict QuotaGate::VerdictWithoutToken(Account& account,
                                             TimePoint now) const {
-  if (account.m_was_reached) {
-    return QuotaVerdict::kOver;
+  if (account.m_has_reached_keeper) {
+    return QuotaVerdict::kExhausted;
   }
-  const bool may_pass = account.m_alone && account.m_alone->Take(1, now) > 0;
-  return may_pass ? QuotaVerdict::kPass : QuotaVerdict::kOutOfReach;
+  const bool may_pass =
+      account.m_fallback_bucket && account.m_fallback_bucket->Take(1, now) > 0;
+  return may_pass ? QuotaVerdict::kPass : QuotaVerdict::kKeepersUnreachable;
 }
 
 }  // namespace sorrelplank
--- a/src/steer/quota_gate.h
+++ b/src/steer/quota_gate.h
@@ -1,4 +1,4 @@
-/// @file quota_gate.h Which requests a quota lets pass.
+/// @file quota_gate.h Applies quotas to requests at one entry VM.
 
 #ifndef SORRELPLANK_STEER_QUOTA_GATE_H_
 #define SORRELPLANK_STEER_QUOTA_GATE_H_
@@ -16,129 +16,131 @@
 #include "core/ids_type.h"
 #include "core/time_type.h"
 #include "steer/quota_bounds_type.h"
-#include "steer/quota_bucket.h"
 #include "steer/quota_directory.h"
 #include "steer/quota_message_type.h"
 #include "steer/quota_terms_type.h"
+#include "steer/token_bucket.h"
 
 namespace sorrelplank {
 
-/// What becomes of a request.
+/// Decision on a request.
 enum class QuotaVerdict : uint8_t {
-  kPass,        ///< It has a token.
-  kWait,        ///< A keeper was asked.
-  kOver,        ///< The quota is used up.
-  kOutOfReach,  ///< No keeper is within reach.
+  kPass,                ///< The request has a token.
+  kWait,                ///< The request waits for a keeper.
+  kExhausted,           ///< The quota is used up.
+  kKeepersUnreachable,  ///< No keeper responds.
 };
 
-/// A request that waited, and what becomes of it.
+/// Decision on a request that waited.
 struct QuotaOutcome {
   RequestId m_request;
   QuotaVerdict m_verdict = QuotaVerdict::kPass;
 };
 
-/// Tokens of one entry VM.
+/// Quota tokens held by one entry VM.
 ///
-/// Each request that a quota counts takes a token. Where this VM
-/// has none it asks the keeper of its own region, and those of the other
-/// regions where that one has none left or is silent. Tokens for the next
-/// requests are asked for along with it, as many as usually come within the
-/// time that they are kept; so where many requests come they seldom wait.
+/// Each request under a quota takes a token. Without one, the VM asks the
+/// keeper in its own region, then the keepers in the other regions if that one
+/// has none left or does not respond. It also prefetches tokens, about as many
+/// as the requests expected within `kPrefetchTime`, so that requests seldom
+/// wait where many arrive.
 class QuotaGate {
  public:
-  /// Regions in the order in which they are asked; the own one first.
+  /// Regions in the order in which their keepers are asked; own region first.
   explicit QuotaGate(std::vector<std::string> regions);
 
   void SetBounds(const QuotaBounds& bounds) { m_bounds = bounds; }
   void SetFleet(const std::vector<FleetMember>& fleet);
   const QuotaDirectory& Directory() const { return m_directory; }
-  /// Keepers of one quota.
+  /// Number of keepers of one quota.
   size_t KeeperCount() const { return m_regions.size(); }
 
-  /// A request for which a quota needs a token.
+  /// Takes a token for a request, or queues the request until a keeper
+  /// responds.
   QuotaVerdict Arrived(RequestId request,
                        QuotaSubject subject,
                        const QuotaTerms& terms,
                        TimePoint now);
-  /// A request that waits is given up.
-  void Left(RequestId request, QuotaSubject subject);
-  /// A request that took a token will not run.
+  /// Removes a waiting request.
+  void CancelWait(RequestId request, QuotaSubject subject);
+  /// Returns the token of a request that will not run.
   void Return(QuotaSubject subject, TimePoint now);
 
-  /// What to ask now.
-  std::vector<QuotaQuestion> TakeQuestions();
-  /// A keeper answered.
+  /// Removes and returns the requests to send to keepers.
+  std::vector<AddressedQuotaRequest> TakeQuotaRequests();
+  /// Handles a grant of a keeper.
   std::vector<QuotaOutcome> TakeGrant(const QuotaGrant& grant, TimePoint now);
-  /// Keepers that stay silent.
+  /// Handles keepers that did not respond in time.
   std::vector<QuotaOutcome> Tick(TimePoint now);
 
-  /// When requests that were refused may come back.
-  Duration ComeBackAfter(QuotaSubject subject) const;
+  /// Time after which refused requests should be retried.
+  Duration RetryAfter(QuotaSubject subject) const;
 
-  /// Whether a request that arrives now would be told at once that there is no
-  /// token.
+  /// Whether a request that arrives now would be refused at once, without
+  /// asking a keeper.
   bool IsRefused(QuotaSubject subject, TimePoint now) const;
 
   size_t WaitingCount() const;
 
  private:
-  /// A question that has no answer yet.
-  struct Open {
+  /// A quota request without a grant yet.
+  struct PendingRequest {
     uint64_t m_number = 0;
     uint32_t m_tokens = 0;
     std::string m_keeper;
-    /// Place in m_regions.
+    /// Index in m_regions.
     size_t m_region = 0;
-    /// Whether a keeper of a region before it answered.
-    bool m_was_reached = false;
+    /// Whether a keeper in an earlier region responded.
+    bool m_has_reached_keeper = false;
   };
 
-  /// When a question was asked.
-  struct Asked {
+  /// Send time of a quota request.
+  struct SentRequest {
     QuotaSubject m_subject;
     uint64_t m_number = 0;
-    TimePoint m_at;
+    TimePoint m_sent_at;
   };
 
-  /// What it knows of one quota.
+  /// State of one quota.
   struct Account {
     uint32_t m_tokens = 0;
-    TimePoint m_tokens_end;
+    TimePoint m_tokens_expire_at;
     std::list<RequestId> m_waiting;
-    std::optional<Open> m_open;
-    /// Requests lately, each fading over a second.
+    std::optional<PendingRequest> m_pending;
+    /// Exponentially decayed count of recent requests; `kRateDecayTime`.
     double m_recent = 0;
-    TimePoint m_arrived;
-    /// Until then the answer is known without asking.
+    TimePoint m_last_arrival;
+    /// Until then requests without a token are refused without asking.
     TimePoint m_refused_until;
-    /// Whether a keeper answered when tokens were last asked for.
-    bool m_was_reached = true;
-    Duration m_wait{};
-    /// Used while no keeper is within reach.
-    std::optional<QuotaBucket> m_alone;
+    /// Whether a keeper responded to the last quota request.
+    bool m_has_reached_keeper = true;
+    Duration m_retry_after{};
+    /// Used while no keeper is reachable.
+    std::optional<TokenBucket> m_fallback_bucket;
   };
 
   void CountArrival(Account& account, TimePoint now) const;
-  /// Tokens to have at hand for requests to come.
-  uint32_t TokensAhead(const Account& account) const;
+  /// Number of tokens to hold for requests to come.
+  uint32_t TokensToPrefetch(const Account& account) const;
   bool TakeToken(Account& account, TimePoint now) const;
-  /// Asks the next keeper within reach, from this region on; false without one.
+  /// Asks the first keeper that is not known as silent, starting at `region`.
+  /// Returns false if there is none.
   bool Ask(QuotaSubject subject,
            Account& account,
            size_t region,
-           bool was_reached,
+           bool has_reached_keeper,
            TimePoint now);
-  /// Ends the search for tokens for all that wait.
+  /// Decides all waiting requests without a token.
   void RefuseWaiting(Account& account,
                      TimePoint now,
                      std::vector<QuotaOutcome>& outcomes);
   void ServeWaiting(Account& account,
                     TimePoint now,
                     std::vector<QuotaOutcome>& outcomes) const;
-  /// Goes on after a keeper that had too little or stayed silent.
+  /// Continues after a keeper that had too few tokens or did not respond.
   void AskNext(QuotaSubject subject,
                Account& account,
-               const Open& before,
+               const PendingRequest& previous,
                TimePoint now,
                std::vector<QuotaOutcome>& outcomes);
   QuotaVerdict VerdictWithoutToken(Account& account, TimePoint now) const;
@@ -147,15 +149,15 @@
   std::vector<std::string> m_regions;
   QuotaBounds m_bounds;
   QuotaDirectory m_directory;
-  size_t m_vms = 1;
+  size_t m_vm_count = 1;
   std::unordered_map<QuotaSubject, Account> m_accounts;
-  std::vector<QuotaQuestion> m_questions;
-  /// In the order of asking.
-  std::deque<Asked> m_asked;
-  TimePoint m_swept{};
+  std::vector<AddressedQuotaRequest> m_quota_requests;
+  /// In the order of sending.
+  std::deque<SentRequest> m_sent_requests;
+  TimePoint m_last_sweep{};
   uint64_t m_next_number = 1;
-  /// VMs that did not answer, until when they are not asked again.
-  std::map<std::string, TimePoint> m_silent;
+  /// VMs that did not respond, and until when they are not asked again.
+  std::map<std::string, TimePoint> m_silent_keepers;
 };
 
 }  // namespace sorrelplank
--- a/src/steer/quota_keeper.cc
+++ b/src/steer/quota_keeper.cc
@@ -1,4 +1,4 @@
-/// @file quota_keeper.cc Buckets by what the quotas are for.
+/// @file quota_keeper.cc Token buckets by quota.
 
 #include "steer/quota_keeper.h"
 
@@ -11,56 +11,57 @@
 
 namespace {
 
-/// Requests that were refused come back about this long.
-constexpr Duration kRefusedFade = seconds(1);
-/// Bounds on the time after which refused requests are told to come back.
-constexpr Duration kShortestWait = milliseconds(100);
-constexpr Duration kLongestWait = seconds(3);
-/// A bucket that nobody asked for so long is full at usual limits, as is one
-/// that is begun anew.
-constexpr Duration kUnusedFor = seconds(60);
+/// Refused requests are retried for about this long.
+constexpr Duration kRefusedDecayTime = seconds(1);
+/// Bounds on the retry time that a grant returns for refused requests.
+constexpr Duration kMinRetryAfter = milliseconds(100);
+constexpr Duration kMaxRetryAfter = seconds(3);
+/// Buckets without requests for this time are dropped: at usual limits they are
+/// full by then, as is a new bucket.
+constexpr Duration kUnusedExpiry = seconds(60);
 
-double FadeOver(Duration passed) {
-  return std::exp(-ToMilliseconds(passed) / ToMilliseconds(kRefusedFade));
+double DecayFactor(Duration passed) {
+  return std::exp(-ToMilliseconds(passed) / ToMilliseconds(kRefusedDecayTime));
 }
 
 }  // namespace
 
-QuotaKeeper::Kept& QuotaKeeper::KeptOf(const QuotaAsk& ask,
-                                       const QuotaPart& part,
-                                       TimePoint now) {
-  const auto it = m_kept.find(ask.m_subject);
-  if (it == m_kept.end()) {
-    const Kept fresh{QuotaBucket(part, std::min(now, m_keeps_since)), now, 0};
-    return m_kept.emplace(ask.m_subject, fresh).first->second;
+QuotaKeeper::QuotaState& QuotaKeeper::StateOf(const QuotaRequest& quota_request,
+                                              const QuotaShare& share,
+                                              TimePoint now) {
+  const auto it = m_states.find(quota_request.m_subject);
+  if (it == m_states.end()) {
+    const QuotaState fresh{TokenBucket(share, std::min(now, m_refill_start)),
+                           now, 0};
+    return m_states.emplace(quota_request.m_subject, fresh).first->second;
   }
-  it->second.m_bucket.SetPart(part, now);
+  it->second.m_bucket.SetShare(share, now);
   return it->second;
 }
 
-QuotaGrant QuotaKeeper::Grant(const QuotaAsk& ask,
+QuotaGrant QuotaKeeper::Grant(const QuotaRequest& quota_request,
                               const QuotaTerms& terms,
                               size_t keepers,
                               TimePoint now) {
-  const QuotaPart part = PartOfKeeper(terms, m_bounds, keepers);
-  Kept& kept = KeptOf(ask, part, now);
-  kept.m_refused *= FadeOver(now - kept.m_asked);
-  kept.m_asked = now;
-  const uint32_t granted = kept.m_bucket.Take(ask.m_tokens, now);
-  kept.m_refused += ask.m_tokens - granted;
+  const QuotaShare share = KeeperShare(terms, m_bounds, keepers);
+  QuotaState& state = StateOf(quota_request, share, now);
+  state.m_refused *= DecayFactor(now - state.m_last_request);
+  state.m_last_request = now;
+  const uint32_t granted = state.m_bucket.Take(quota_request.m_tokens, now);
+  state.m_refused += quota_request.m_tokens - granted;
   const auto wait =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-          kept.m_refused / std::max(part.m_rate, 0.001)));
-  return {.m_subject = ask.m_subject,
-          .m_number = ask.m_number,
+          state.m_refused / std::max(share.m_rate, 0.001)));
+  return {.m_subject = quota_request.m_subject,
+          .m_number = quota_request.m_number,
           .m_tokens = granted,
           .m_is_keeper = true,
-          .m_wait = std::clamp<Duration>(wait, kShortestWait, kLongestWait)};
+          .m_wait = std::clamp<Duration>(wait, kMinRetryAfter, kMaxRetryAfter)};
 }
 
 void QuotaKeeper::ForgetUnused(TimePoint now) {
-  std::erase_if(m_kept, [now](const auto& one) {
-    return now - one.second.m_asked > kUnusedFor;
+  std::erase_if(m_states, [now](const auto& one) {
+    return now - one.second.m_last_request > kUnusedExpiry;
   });
 }
 
--- a/src/steer/quota_keeper.h
+++ b/src/steer/quota_keeper.h
@@ -1,4 +1,4 @@
-/// @file quota_keeper.h Grants the tokens of quotas.
+/// @file quota_keeper.h Grants quota tokens to entry VMs.
 
 #ifndef SORRELPLANK_STEER_QUOTA_KEEPER_H_
 #define SORRELPLANK_STEER_QUOTA_KEEPER_H_
@@ -9,55 +9,56 @@
 #include "core/ids_type.h"
 #include "core/time_type.h"
 #include "steer/quota_bounds_type.h"
-#include "steer/quota_bucket.h"
 #include "steer/quota_message_type.h"
+#include "steer/token_bucket.h"
 
 namespace sorrelplank {
 
 struct QuotaTerms;
 
-/// The part of the quotas that this entry VM keeps.
+/// The token buckets of the quotas that this entry VM keeps.
 ///
 /// Load pattern: one organisation sends several times its limit through all
-/// entry VMs. Each VM sees a part that is harmless by itself; the keeper sees
+/// entry VMs. Each VM sees a share that is within the limit; the keeper sees
 /// the sum.
 class QuotaKeeper {
  public:
   void SetBounds(const QuotaBounds& bounds) { m_bounds = bounds; }
 
-  /// Other VMs may have kept quotas until now. A quota that is asked
-  /// for the first time has gained tokens from here on.
-  void FleetChanged(TimePoint now) { m_keeps_since = now + kSettling; }
+  /// To be called when the fleet changes. Other VMs may have kept this VM's
+  /// quotas until now, so a new bucket refills only from here on.
+  void FleetChanged(TimePoint now) { m_refill_start = now + kFleetUpdateDelay; }
 
-  /// Answers a question on a quota, one of so many
-  /// keepers of it.
-  QuotaGrant Grant(const QuotaAsk& ask,
+  /// Grants tokens as one of `keepers` keepers of the quota.
+  QuotaGrant Grant(const QuotaRequest& quota_request,
                    const QuotaTerms& terms,
                    size_t keepers,
                    TimePoint now);
 
-  /// Forgets quotas that nobody asked for lately.
+  /// Drops quotas without recent requests.
   void ForgetUnused(TimePoint now);
 
-  size_t Count() const { return m_kept.size(); }
+  size_t Count() const { return m_states.size(); }
 
  private:
-  /// What it knows of one quota.
-  struct Kept {
-    QuotaBucket m_bucket;
-    TimePoint m_asked;
-    /// Tokens refused lately; fades within seconds.
+  /// State of one quota.
+  struct QuotaState {
+    TokenBucket m_bucket;
+    TimePoint m_last_request;
+    /// Exponentially decayed count of refused tokens; `kRefusedDecayTime`.
     double m_refused = 0;
   };
 
-  /// News of the fleet reach all VMs within this time.
-  static constexpr Duration kSettling = seconds(2);
+  /// Fleet changes reach all VMs within this time.
+  static constexpr Duration kFleetUpdateDelay = seconds(2);
 
-  Kept& KeptOf(const QuotaAsk& ask, const QuotaPart& part, TimePoint now);
+  QuotaState& StateOf(const QuotaRequest& quota_request,
+                      const QuotaShare& share,
+                      TimePoint now);
 
   QuotaBounds m_bounds;
-  TimePoint m_keeps_since{};
-  std::unordered_map<QuotaSubject, Kept> m_kept;
+  TimePoint m_refill_start{};
+  std::unordered_map<QuotaSubject, QuotaState> m_states;
 };
 
 }  // namespace sorrelplank
--- a/src/steer/quota_message_type.h
+++ b/src/steer/quota_message_type.h
@@ -1,4 +1,4 @@
-/// @file quota_message_type.h What entry VMs tell each other of quotas.
+/// @file quota_message_type.h Quota messages between entry VMs.
 
 #ifndef SORRELPLANK_STEER_QUOTA_MESSAGE_TYPE_H_
 #define SORRELPLANK_STEER_QUOTA_MESSAGE_TYPE_H_
@@ -12,40 +12,39 @@
 
 namespace sorrelplank {
 
-/// A limit that a backend server named.
+/// A rate limit that a backend server named.
 struct NamedLimit {
   double m_per_second = 0;
-  /// Since the answer that named it.
+  /// Time since the response that named it.
   Duration m_age{};
 };
 
-/// An entry VM asks the keeper of a quota for tokens. One token
-/// lets one request run.
-struct QuotaAsk {
+/// Asks the keeper of a quota for tokens. One token admits one request.
+struct QuotaRequest {
   QuotaSubject m_subject;
-  /// Tells the answers to one VM's questions apart.
+  /// Matches a grant to the request of one VM.
   uint64_t m_number = 0;
   uint32_t m_tokens = 0;
-  /// Where the quota is a backend server's limit, which the keeper may not have
-  /// heard of.
+  /// Set if the quota is a backend server's limit, which the keeper may not
+  /// know yet.
   std::optional<NamedLimit> m_limit;
 };
 
-/// A question and whom it goes to.
-struct QuotaQuestion {
-  /// Name of the keeper's VM.
+/// A quota request and its recipient.
+struct AddressedQuotaRequest {
+  /// Name of the keeper VM.
   std::string m_keeper;
-  QuotaAsk m_ask;
+  QuotaRequest m_quota_request;
 };
 
-/// The keeper's answer.
+/// The keeper's response.
 struct QuotaGrant {
   QuotaSubject m_subject;
   uint64_t m_number = 0;
   uint32_t m_tokens = 0;
-  /// False where the VM that was asked does not take itself for the keeper.
+  /// False if the VM that was asked is not the keeper by its own knowledge.
   bool m_is_keeper = false;
-  /// When there will be a token for those that were not granted one.
+  /// Time until tokens are available for what was not granted.
   Duration m_wait{};
 };
 
--- a/src/steer/quota_part.cc
+++ b/src/steer/quota_share.cc
@@ -1,27 +1,27 @@
-/// @file quota_part.cc Shares of rate, burst and tolerance.
+/// @file quota_share.cc Division of rate, burst and tolerance.
 
 #include <algorithm>
 
 #include "core/time_type.h"
-#include "steer/quota_part_func.h"
+#include "steer/quota_share_func.h"
 #include "steer/quota_terms_type.h"
 
 namespace sorrelplank {
 
 namespace {
 
-/// Parts of the tolerance. The rest is for tokens that are granted in one
-/// window and used in the next, and for two VMs that take themselves for the
-/// keeper while news of the fleet is under way.
+/// Fractions of the tolerance. The rest is for tokens granted in one window and
+/// used in the next, and for two VMs that both act as the keeper while a fleet
+/// change propagates.
 constexpr double kBurstTolerance = 0.3;
-constexpr double kFirstTolerance = 0.15;
-constexpr double kOutOfReachTolerance = 0.2;
+constexpr double kInitialTolerance = 0.15;
+constexpr double kFallbackTolerance = 0.2;
 
 double SecondsOf(Duration time) {
   return ToMilliseconds(time) / 1000;
 }
 
-/// Requests in a window beyond rate and burst.
+/// Requests that may run in a window beyond rate and burst.
 double Tolerance(const QuotaTerms& terms, const QuotaBounds& bounds) {
   const double in_window =
       terms.m_rate_per_second * SecondsOf(bounds.m_window) + terms.m_burst;
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-QuotaPart PartOfKeeper(const QuotaTerms& terms,
+QuotaShare KeeperShare(const QuotaTerms& terms,
                        const QuotaBounds& bounds,
                        size_t keepers) {
   const auto count = static_cast<double>(std::max<size_t>(1, keepers));
@@ -39,17 +39,17 @@
   // A bucket that cannot hold one token would never grant any.
   return {.m_rate = terms.m_rate_per_second / count,
           .m_capacity = std::max(1.0, capacity),
-          .m_first = tolerance * kFirstTolerance};
+          .m_initial = tolerance * kInitialTolerance};
 }
 
-QuotaPart PartOutOfReach(const QuotaTerms& terms,
+QuotaShare FallbackShare(const QuotaTerms& terms,
                          const QuotaBounds& bounds,
                          size_t vms) {
   const auto count = static_cast<double>(std::max<size_t>(1, vms));
   const double window = std::max(0.001, SecondsOf(bounds.m_window));
   const double in_window =
-      Tolerance(terms, bounds) * kOutOfReachTolerance / count;
-  return {.m_rate = in_window / window, .m_capacity = 1, .m_first = 0};
+      Tolerance(terms, bounds) * kFallbackTolerance / count;
+  return {.m_rate = in_window / window, .m_capacity = 1, .m_initial = 0};
 }
 
 }  // namespace sorrelplank
--- a/src/steer/quota_terms_type.h
+++ b/src/steer/quota_terms_type.h
@@ -1,15 +1,15 @@
-/// @file quota_terms_type.h How much of something may run.
+/// @file quota_terms_type.h Rate and burst of a quota.
 
 #ifndef SORRELPLANK_STEER_QUOTA_TERMS_TYPE_H_
 #define SORRELPLANK_STEER_QUOTA_TERMS_TYPE_H_
 
 namespace sorrelplank {
 
-/// What a quota allows over all entry VMs together.
+/// Limit of a quota over all entry VMs together.
 struct QuotaTerms {
-  /// Requests a second.
+  /// Requests per second.
   double m_rate_per_second = 0;
-  /// Requests beside the rate in any span of time.
+  /// Requests beyond the rate in any span of time.
   double m_burst = 0;
 };
 
--- a/src/steer/region_shares.cc
+++ b/src/steer/region_shares.cc
@@ -1,4 +1,4 @@
-/// @file region_shares.cc The slow split over regions.
+/// @file region_shares.cc Bounded changes of region shares.
 
 #include "steer/region_shares.h"
 
@@ -12,29 +12,31 @@
 
 namespace {
 
-/// Requests under way and waiting per slot of the own region above which
-/// objects are sent elsewhere: slots are full and lines form. Moved sooner,
-/// objects leave servers that are warm for them; under overload that cost a
-/// tenth of the worth.
-constexpr double kHigh = 1.2;
-/// Below this they come back; the gap keeps the split from swinging.
-constexpr double kLow = 0.7;
-/// A region that takes more must be less loaded than ours by this much.
-constexpr double kGap = 0.2;
-
-/// Part of the speed at which objects come home. It is never urgent, and meets
-/// little traffic, where two windows differ by chance: calm starts with eight
-/// seeds and 500 requests a window changed 0.114 to 0.150 of the requests (0.15
-/// allowed), 0.122 to 0.177 at the whole speed. Where the own region is full,
-/// slower moves away cost callers: value of the answers under overload, 30
-/// days, 0.585 of the most at this part for both ways, 0.592 for the way home
-/// alone.
-constexpr double kHomePart = 0.75;
-
-/// Weight of a slot in a region without a share, small beside any share.
-constexpr double kNoShare = 1e-9;
-
-/// A number in 0..1, the same in every process.
+/// Running and waiting requests per slot of the own region above which objects
+/// move elsewhere: slots are full and queues form. Moved sooner, objects leave
+/// servers that are warm for them; under overload that cost a tenth of the
+/// value of the responses.
+constexpr double kHighUtilisation = 1.2;
+/// Below this they move back; the gap prevents oscillation.
+constexpr double kLowUtilisation = 0.7;
+/// A region that receives objects must be less utilised than the other by this
+/// much.
+constexpr double kMinUtilisationGap = 0.2;
+
+/// Fraction of the maximum speed at which objects move back. Moving back is
+/// never urgent, and happens at low traffic, where two windows also differ by
+/// chance: starts at low load with eight seeds and 500 requests per window
+/// changed 0.114 to 0.150 of the requests (0.15 allowed), and 0.122 to 0.177 at
+/// full speed. Moving away more slowly from a full region costs callers: the
+/// value of the responses under overload, over 30 days, was 0.585 of the
+/// maximum with this factor in both directions, and 0.592 with it for moving
+/// back only.
+constexpr double kReturnSpeedFactor = 0.75;
+
+/// Weight per slot of a region without a share; negligible against any share.
+constexpr double kZeroShareWeight = 1e-9;
+
+/// A hash in 0..1, the same in every process.
 double UnitHash(uint64_t object, size_t region) {
   const uint64_t parts[] = {object, region};
   const uint64_t hash = XXH3_64bits(parts, sizeof(parts));
@@ -49,7 +51,7 @@
 }
 
 void RegionShares::Update(const std::vector<RegionLoad>& loads,
-                          double most_shift_per_second,
+                          double max_shift_per_second,
                           const MovedAwayBounds& bounds,
                           TimePoint now) {
   const Duration since = std::min<Duration>(now - m_updated, seconds(1));
@@ -62,44 +64,47 @@
   if (!loads[m_own].m_is_known && loads[m_own].m_slots > 0) {
     return;
   }
-  const double step = most_shift_per_second * ToMilliseconds(since) / 1000;
-  const double may_come =
-      std::clamp(MovedAway() - bounds.m_least, 0.0, step * kHomePart);
-  const double may_leave = std::clamp(bounds.m_most - MovedAway(), 0.0, step);
+  const double step = max_shift_per_second * ToMilliseconds(since) / 1000;
+  const double max_move_back =
+      std::clamp(MovedAway() - bounds.m_min, 0.0, step * kReturnSpeedFactor);
+  const double max_move_away =
+      std::clamp(bounds.m_max - MovedAway(), 0.0, step);
   const std::vector<double> before = m_shares;
-  MoveHome(may_come);
-  LimitMove(before, may_come);
-  MoveAway(may_leave);
+  MoveBack(max_move_back);
+  LimitMove(before, max_move_back);
+  MoveAway(max_move_away);
   LimitMove(before, step);
 }
 
-void RegionShares::MoveHome(double most) {
+void RegionShares::MoveBack(double max_move) {
   const double own = m_loads[m_own].m_utilisation;
   for (size_t region = 0; region < m_shares.size(); ++region) {
     const bool has_room =
-        own < kLow || own + kGap < m_loads[region].m_utilisation;
+        own < kLowUtilisation ||
+        own + kMinUtilisationGap < m_loads[region].m_utilisation;
     if (region != m_own && has_room) {
-      MoveBetween(region, m_own, most);
+      MoveBetween(region, m_own, max_move);
     }
   }
 }
 
-void RegionShares::MoveAway(double most) {
+void RegionShares::MoveAway(double max_move) {
   const double own = m_loads[m_own].m_utilisation;
-  if (own <= kHigh) {
+  if (own <= kHighUtilisation) {
     return;
   }
   size_t best = m_own;
   for (size_t region = 0; region < m_shares.size(); ++region) {
     const RegionLoad& load = m_loads[region];
-    const bool has_room = load.m_slots > 0 && load.m_utilisation + kGap < own;
+    const bool has_room =
+        load.m_slots > 0 && load.m_utilisation + kMinUtilisationGap < own;
     const bool is_better =
         best == m_own || load.m_utilisation < m_loads[best].m_utilisation;
     if (region != m_own && has_room && is_better) {
       best = region;
     }
   }
-  MoveBetween(m_own, best, most);
+  MoveBetween(m_own, best, max_move);
 }
 
 void RegionShares::LimitMove(const std::vector<double>& before, double step) {
@@ -110,10 +115,10 @@
   if (moved <= step) {
     return;
   }
-  // The bound is on a region's requests as a whole. Where each of two other
-  // regions gave back at the whole speed, 0.196 of the requests changed region
-  // between two windows of 2 s, in a replayed start with steady loads; 0.121
-  // with one step in all, and 0.092 at the speed of the way home.
+  // The bound applies to all of a region's requests together. With two other
+  // regions each giving back at full speed, 0.196 of the requests changed
+  // region between two windows of 2 s, in a replayed start with steady loads;
+  // 0.121 with one step in total, and 0.092 with kReturnSpeedFactor.
   for (size_t region = 0; region < m_shares.size(); ++region) {
     const double change = m_shares[region] - before[region];
     m_shares[region] = before[region] + change * step / moved;
@@ -163,15 +168,15 @@
   }
 }
 
-void RegionShares::MoveBetween(size_t from, size_t to, double part) {
-  const double moved = std::min(part, m_shares[from]);
+void RegionShares::MoveBetween(size_t from, size_t to, double share) {
+  const double moved = std::min(share, m_shares[from]);
   m_shares[from] -= moved;
   m_shares[to] += moved;
 }
 
 size_t RegionShares::RegionOf(uint64_t object, Mask allowed) const {
   const size_t region =
-      BestRegion(object, allowed, &RegionLoad::m_slots_within_reach);
+      BestRegion(object, allowed, &RegionLoad::m_reachable_slots);
   return region < m_shares.size()
              ? region
              : BestRegion(object, allowed, &RegionLoad::m_slots);
@@ -188,9 +193,9 @@
     if (!is_allowed || usable <= 0) {
       continue;
     }
-    // A region without a share is only taken where no other one is left.
+    // A region without a share is chosen only if no other region is left.
     const double weight =
-        m_shares[region] > 0 ? m_shares[region] : kNoShare * usable;
+        m_shares[region] > 0 ? m_shares[region] : kZeroShareWeight * usable;
     const double score = -weight / std::log(UnitHash(object, region));
     if (best == m_shares.size() || score > best_score) {
       best = region;
--- a/src/steer/region_shares.h
+++ b/src/steer/region_shares.h
@@ -1,4 +1,4 @@
-/// @file region_shares.h Which region runs the requests of a service.
+/// @file region_shares.h Distribution of a service's requests over regions.
 
 #ifndef SORRELPLANK_STEER_REGION_SHARES_H_
 #define SORRELPLANK_STEER_REGION_SHARES_H_
@@ -11,33 +11,34 @@
 
 namespace sorrelplank {
 
-/// Load of a service in one region, as this entry VM knows it.
+/// Load of a service in one region, as known to this entry VM.
 struct RegionLoad {
-  /// Slots of the backend servers that may be sent to.
+  /// Slots of the backend servers that accept requests.
   double m_slots = 0;
-  /// Of these, the slots that requests from here can reach now.
-  double m_slots_within_reach = 0;
-  /// Requests under way and waiting per slot, of all entry VMs.
+  /// Of these, the slots that this VM can send to now.
+  double m_reachable_slots = 0;
+  /// Running and waiting requests per slot, of all entry VMs.
   double m_utilisation = 0;
-  /// Whether any of its servers has told its load lately.
+  /// Whether any of its servers has reported its load recently.
   bool m_is_known = true;
 };
 
-/// Between which parts of all objects a split's MovedAway is to stay.
+/// Bounds on RegionShares::MovedAway, as fractions of all objects.
 struct MovedAwayBounds {
-  double m_least = -1;
-  double m_most = 1;
+  double m_min = -1;
+  double m_max = 1;
 };
 
-/// Splits a service's objects over regions and moves the split slowly.
+/// Distributes a service's objects over regions by weights (shares) that change
+/// at a bounded rate.
 ///
-/// Load pattern: the callers of one region outgrow its slots while another
-/// region has room. Sending each request that finds no slot elsewhere would
-/// move a large part of a region's requests at once, and spread every object
-/// over servers that are not warm for it. Here whole objects move, by highest
-/// random weight over the regions' shares, and the shares move at a bounded
-/// rate; only where no server of a region can be reached everything moves at
-/// once.
+/// Load pattern: the callers of one region need more slots than it has while
+/// another region has spare capacity. Sending each request without a free slot
+/// elsewhere would move a large share of a region's requests at once, and
+/// spread every object over servers that are not warm for it. Instead whole
+/// objects move, by weighted rendezvous hashing over the shares, and the shares
+/// change at a bounded rate. All objects move at once only if no server of a
+/// region is reachable.
 class RegionShares {
  public:
   /// Bit r set: region r may run the request.
@@ -45,44 +46,44 @@
 
   RegionShares(size_t regions, size_t own);
 
-  /// Moves the split towards where there is room. Until Start it is set so that
-  /// regions with the same demand would be loaded the same. Once started, no
-  /// move takes MovedAway across the bounds.
+  /// Shifts shares towards regions with spare capacity. Before Start() the
+  /// shares are set so that regions of equal demand would be equally loaded.
+  /// After it, no shift takes MovedAway() across the bounds.
   void Update(const std::vector<RegionLoad>& loads,
-              double most_shift_per_second,
+              double max_shift_per_second,
               const MovedAwayBounds& bounds,
               TimePoint now);
 
-  /// Requests come from now on: the split moves slowly.
+  /// To be called at the first request; from then on shares change slowly.
   void Start();
   bool HasStarted() const { return m_has_started; }
-  /// Part of all objects that moved away from the own region since the start;
-  /// negative where more came home.
+  /// Fraction of all objects that moved out of the own region since Start();
+  /// negative if more moved into it.
   double MovedAway() const { return m_own_at_start - m_shares[m_own]; }
 
-  /// The region of an object; the number of regions where none of the allowed
-  /// ones has a server. A region out of reach is taken only where all are.
+  /// The region of an object; the number of regions if none of the allowed ones
+  /// has a server. An unreachable region is chosen only if all are unreachable.
   size_t RegionOf(uint64_t object, Mask allowed) const;
 
   double Share(size_t region) const { return m_shares[region]; }
   double OwnShare() const { return m_shares[m_own]; }
   bool HasOwnSlots() const { return m_loads[m_own].m_slots > 0; }
-  /// The loads that the last update was given.
+  /// Utilisation of the own region at the last update.
   double OwnLoad() const { return m_loads[m_own].m_utilisation; }
-  /// Of the other regions that have slots; 0 where there is none.
+  /// Lowest utilisation of the other regions that have slots; 0 without one.
   double LeastLoadElsewhere() const;
 
  private:
   size_t BestRegion(uint64_t object,
                     Mask allowed,
                     double RegionLoad::*slots) const;
-  void MoveBetween(size_t from, size_t to, double part);
+  void MoveBetween(size_t from, size_t to, double share);
   void SetByCapacity();
-  /// Takes objects back from other regions where the own one has room.
-  void MoveHome(double most);
-  /// Gives objects to the least loaded region where the own one is full.
-  void MoveAway(double most);
-  /// Shortens all that moved since the shares were as given to one step.
+  /// Moves objects back from other regions if the own one has spare capacity.
+  void MoveBack(double max_move);
+  /// Moves objects to the least loaded region if the own one is full.
+  void MoveAway(double max_move);
+  /// Scales the change since `before` down to `step` in total.
   void LimitMove(const std::vector<double>& before, double step);
 
   size_t m_own;
--- /dev/null
+++ b/src/steer/retry_budget_share.h
@@ -0,0 +1,47 @@
+/// @file retry_budget_share.h One entry VM's share of a service's retry budget.
+
+#ifndef SORRELPLANK_STEER_RETRY_BUDGET_SHARE_H_
+#define SORRELPLANK_STEER_RETRY_BUDGET_SHARE_H_
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+
+#include "core/time_type.h"
+
+namespace sorrelplank {
+
+/// Limits retries in a sliding window by the number of requests in that window.
+///
+/// The budget applies to all entry VMs together. Each VM is limited by its own
+/// requests, which sum to the total, plus an equal share of the fixed extra, so
+/// the shares stay within the budget without exchanging counts.
+class RetryBudgetShare {
+ public:
+  explicit RetryBudgetShare(Duration window);
+
+  /// Counts the first attempt of a request.
+  void CountRequest(TimePoint now);
+
+  /// Counts a retry if the budget allows it; to be called before sending.
+  bool TrySpend(double ratio, double extra, TimePoint now);
+
+ private:
+  static constexpr size_t kBuckets = 20;
+
+  /// Counts for one twentieth of the window.
+  struct Bucket {
+    uint32_t m_requests = 0;
+    uint32_t m_retries = 0;
+  };
+
+  void Advance(TimePoint now);
+
+  Duration m_bucket_length;
+  int64_t m_bucket_number = 0;
+  std::array<Bucket, kBuckets> m_buckets{};
+};
+
+}  // namespace sorrelplank
+
+#endif  // SORRELPLANK_STEER_RETRY_BUDGET_SHARE_H_
--- a/src/steer/route_index.h
+++ b/src/steer/route_index.h
@@ -1,4 +1,4 @@
-/// @file route_index.h Finds the route of a request.
+/// @file route_index.h Lookup of routes by host and path.
 
 #ifndef SORRELPLANK_STEER_ROUTE_INDEX_H_
 #define SORRELPLANK_STEER_ROUTE_INDEX_H_
@@ -13,13 +13,13 @@
 struct RoutingTable;
 struct RouteRule;
 
-/// Routes by host, the longest prefix first.
+/// Routes by host, longest prefix first.
 class RouteIndex {
  public:
   /// The table must outlive the index.
   explicit RouteIndex(const RoutingTable& table);
 
-  /// The route of the host with the longest prefix that begins the path.
+  /// The route of the host with the longest prefix of the path, or nullptr.
   const RouteRule* Find(const std::string& host, const std::string& path) const;
 
  private:
--- a/src/steer/route_rule_type.h
+++ b/src/steer/route_rule_type.h
@@ -11,14 +11,15 @@
 
 namespace sorrelplank {
 
-/// A service that takes part of a route's requests.
+/// A service that receives a share of a route's requests.
 struct BackendShare {
   std::string m_service;
   /// Relative to the sum over the route's shares; no unit.
   double m_weight = 1;
 };
 
-/// What requests of one host and path prefix are and where they go.
+/// Properties and target services of the requests with one host and path
+/// prefix.
 struct RouteRule {
   std::string m_name;
   std::string m_host;
@@ -26,17 +27,19 @@
   std::string m_prefix;
   /// Whether a request may run more than once.
   bool m_idempotent = false;
-  /// Longest time a request is kept unanswered.
+  /// Maximum time until the response to the client.
   Duration m_timeout = seconds(1);
-  /// An answer within this time is worth most to the caller.
+  /// Responses within this time have full value for the caller.
   Duration m_target_latency = seconds(1);
   /// 0 is the most urgent.
   int m_priority = 0;
-  /// Backend servers that one request may be sent to, the first included.
-  uint32_t m_most_sends = 1;
-  /// Backend servers work faster on objects that they handled lately.
-  bool m_keeps_objects_together = false;
-  /// Whether requests need no key.
+  /// Maximum number of backend servers that a request is sent to, the first
+  /// included.
+  uint32_t m_max_sends = 1;
+  /// Whether requests on one object prefer the same server, which works faster
+  /// on objects that it handled recently.
+  bool m_has_object_affinity = false;
+  /// Whether requests are accepted without a key.
   bool m_is_public = false;
   /// Regions that may run the requests; empty: all.
   std::vector<std::string> m_home_regions;
--- a/src/steer/routing_table_type.h
+++ b/src/steer/routing_table_type.h
@@ -16,18 +16,18 @@
 
 namespace sorrelplank {
 
-/// How backend servers of one service are treated.
+/// Settings for the backend servers of one service.
 struct ServiceRules {
   std::string m_name;
-  /// Connections that one backend server takes from all callers together.
-  uint32_t m_most_connections = 0;
+  /// Connections that one backend server accepts from all callers together.
+  uint32_t m_max_connections = 0;
   /// How long a backend server is cold after its start.
   Duration m_cold_start{};
-  /// Requests a second that a cold backend server bears.
+  /// Requests per second that a cold backend server can handle.
   double m_cold_per_second = 0;
 };
 
-/// Bounds on what a client may send, and how long it may take.
+/// Size limits and timeouts for client requests.
 struct ClientLimits {
   size_t m_header_bytes = 16384;
   size_t m_body_bytes = 1U << 20U;
@@ -35,13 +35,13 @@
   Duration m_idle_timeout = seconds(15);
 };
 
-/// Everything that operators configure; never changed once built.
+/// Everything that operators configure; immutable once built.
 struct RoutingTable {
   uint64_t m_version = 0;
   std::vector<RouteRule> m_routes;
   std::map<std::string, ServiceRules> m_services;
   ClientLimits m_limits;
-  /// Who may send requests; nothing: requests carry no keys.
+  /// Organisations that may send requests; without it requests need no keys.
   std::optional<std::vector<Organisation>> m_organisations;
 };
 
--- a/src/steer/server_limits.cc
+++ b/src/steer/server_limits.cc
@@ -1,4 +1,4 @@
-/// @file server_limits.cc Limits as quotas with one keeper.
+/// @file server_limits.cc Server limits as quotas with one keeper.
 
 #include "steer/server_limits.h"
 
@@ -11,22 +11,23 @@
 
 namespace {
 
-/// How exactly a limit must hold: in any 4 s one and a half times what it
-/// allows, and five requests.
+/// Tolerance of a limit: in any 4 s, one and a half times what it allows plus
+/// five requests.
 constexpr QuotaBounds kLimitBounds{.m_window = seconds(4),
                                    .m_excess = 0.5,
                                    .m_slack = 5};
-/// Requests a second to a server that takes fewer, or none: only its answers
-/// tell that the limit has ended. Less than the five in 4 s.
-constexpr double kLeastPerSecond = 0.25;
-/// A keeper that may have been replaced has a part so much smaller: cut off
-/// with those that still ask it, it grants beside the one in its place.
-constexpr size_t kPartsIfReplaced = 3;
-/// A VM of another region asks for a token again this long after an answer that
-/// named the limit: nothing but an answer tells that it has ended.
+/// Requests per second sent to a server whose limit is lower, or zero: only its
+/// responses show that the limit has ended. Below the tolerance of five
+/// requests in 4 s.
+constexpr double kMinRequestsPerSecond = 0.25;
+/// Divides the share of a keeper that may have been replaced: cut off together
+/// with VMs that still ask it, it grants tokens in addition to its replacement.
+constexpr size_t kShareDivisorIfReplaced = 3;
+/// A VM of another region asks for a token again this long after the limit was
+/// last named: only a response shows that the limit has ended.
 constexpr Duration kRemoteRetryInterval = seconds(10);
-/// Limits that nobody asked for are forgotten.
-constexpr Duration kUnusedFor = seconds(60);
+/// Limits without quota requests for this time are dropped.
+constexpr Duration kUnusedExpiry = seconds(60);
 constexpr Duration kSweepInterval = seconds(5);
 
 QuotaSubject SubjectOf(const ServerTrack& server) {
@@ -34,7 +35,7 @@
 }
 
 QuotaTerms TermsOf(double per_second) {
-  return {.m_rate_per_second = std::max(kLeastPerSecond, per_second)};
+  return {.m_rate_per_second = std::max(kMinRequestsPerSecond, per_second)};
 }
 
 }  // namespace
@@ -68,38 +69,40 @@
 }
 
 bool ServerLimits::MayTry(const ServerTrack& server, TimePoint now) const {
-  return !server.Notices().MostPerSecond() ||
+  return !server.Notices().MaxPerSecond() ||
          !GateOf(server).IsRefused(SubjectOf(server), now);
 }
 
-bool ServerLimits::IsLeftToItsRegion(const ServerTrack& server,
-                                     TimePoint now) const {
+bool ServerLimits::IsReservedForItsRegion(const ServerTrack& server,
+                                          TimePoint now) const {
   const std::string& region = m_regions[server.Region()];
-  const bool is_remote = server.Notices().MostPerSecond() && region != m_region;
+  const bool is_remote = server.Notices().MaxPerSecond() && region != m_region;
   return is_remote &&
-         now - server.Notices().LimitNamed() < kRemoteRetryInterval &&
+         now - server.Notices().LimitNamedAt() < kRemoteRetryInterval &&
          !GateOf(server)
               .Directory()
               .KeeperIn(region, SubjectOf(server))
               .empty();
 }
 
-Duration ServerLimits::WaitFor(const ServerTrack& server, TimePoint now) const {
+Duration ServerLimits::TimeUntilToken(const ServerTrack& server,
+                                      TimePoint now) const {
   return MayTry(server, now) ? Duration::zero()
-                             : GateOf(server).ComeBackAfter(SubjectOf(server));
+                             : GateOf(server).RetryAfter(SubjectOf(server));
 }
 
-const ServerLimits::Known& ServerLimits::Learn(QuotaSubject subject,
-                                               size_t region,
-                                               const NamedLimit& limit,
-                                               TimePoint now) {
-  Known& known = m_known[subject];
+const ServerLimits::KnownLimit& ServerLimits::UpdateLimit(
+    QuotaSubject subject,
+    size_t region,
+    const NamedLimit& limit,
+    TimePoint now) {
+  KnownLimit& known = m_known_limits[subject];
   known.m_region = region;
-  known.m_used = now;
+  known.m_used_at = now;
   const TimePoint named = now - limit.m_age;
-  if (named >= known.m_named) {
+  if (named >= known.m_named_at) {
     known.m_per_second = limit.m_per_second;
-    known.m_named = named;
+    known.m_named_at = named;
   }
   return known;
 }
@@ -108,26 +111,27 @@
                                    const ServerTrack& server,
                                    TimePoint now) {
   const QuotaSubject subject = SubjectOf(server);
-  const Known& known = Learn(subject, server.Region(),
-                             {server.Notices().MostPerSecond().value_or(0),
-                              now - server.Notices().LimitNamed()},
-                             now);
+  const KnownLimit& known =
+      UpdateLimit(subject, server.Region(),
+                  {server.Notices().MaxPerSecond().value_or(0),
+                   now - server.Notices().LimitNamedAt()},
+                  now);
   QuotaGate& gate = GateOf(server);
   QuotaVerdict verdict =
       gate.Arrived(request, subject, TermsOf(known.m_per_second), now);
-  for (const QuotaOutcome& outcome : Ask(gate, now)) {
+  for (const QuotaOutcome& outcome : ForwardQuotaRequests(gate, now)) {
     if (outcome.m_request == request) {
       verdict = outcome.m_verdict;
     } else {
-      m_found.push_back(outcome);
+      m_pending_outcomes.push_back(outcome);
     }
   }
   return verdict;
 }
 
-void ServerLimits::Left(RequestId request, const ServerTrack& server) {
-  GateOf(server).Left(request, SubjectOf(server));
-  std::erase_if(m_found, [request](const QuotaOutcome& outcome) {
+void ServerLimits::CancelWait(RequestId request, const ServerTrack& server) {
+  GateOf(server).CancelWait(request, SubjectOf(server));
+  std::erase_if(m_pending_outcomes, [request](const QuotaOutcome& outcome) {
     return outcome.m_request == request;
   });
 }
@@ -136,41 +140,44 @@
   GateOf(server).Return(SubjectOf(server), now);
 }
 
-std::vector<QuotaOutcome> ServerLimits::Ask(QuotaGate& gate, TimePoint now) {
+std::vector<QuotaOutcome> ServerLimits::ForwardQuotaRequests(QuotaGate& gate,
+                                                             TimePoint now) {
   std::vector<QuotaOutcome> outcomes;
-  for (QuotaQuestion& question : gate.TakeQuestions()) {
-    const Known& known = m_known.at(question.m_ask.m_subject);
-    question.m_ask.m_limit =
-        NamedLimit{known.m_per_second, now - known.m_named};
-    if (question.m_keeper != m_vm) {
-      m_questions.push_back(std::move(question));
+  for (AddressedQuotaRequest& addressed : gate.TakeQuotaRequests()) {
+    const KnownLimit& known =
+        m_known_limits.at(addressed.m_quota_request.m_subject);
+    addressed.m_quota_request.m_limit =
+        NamedLimit{known.m_per_second, now - known.m_named_at};
+    if (addressed.m_keeper != m_vm) {
+      m_quota_requests.push_back(std::move(addressed));
       continue;
     }
-    const auto settled = gate.TakeGrant(Grant(question.m_ask, now), now);
+    const auto settled =
+        gate.TakeGrant(Grant(addressed.m_quota_request, now), now);
     outcomes.insert(outcomes.end(), settled.begin(), settled.end());
   }
   return outcomes;
 }
 
-std::vector<QuotaQuestion> ServerLimits::TakeQuestions() {
-  return std::exchange(m_questions, {});
+std::vector<AddressedQuotaRequest> ServerLimits::TakeQuotaRequests() {
+  return std::exchange(m_quota_requests, {});
 }
 
 std::vector<QuotaOutcome> ServerLimits::TakeGrant(const QuotaGrant& grant,
                                                   TimePoint now) {
-  QuotaGate& gate = m_gates[m_known.at(grant.m_subject).m_region];
+  QuotaGate& gate = m_gates[m_known_limits.at(grant.m_subject).m_region];
   std::vector<QuotaOutcome> outcomes = gate.TakeGrant(grant, now);
-  const auto more = Ask(gate, now);
+  const auto more = ForwardQuotaRequests(gate, now);
   outcomes.insert(outcomes.end(), more.begin(), more.end());
   return outcomes;
 }
 
 std::vector<QuotaOutcome> ServerLimits::Tick(TimePoint now) {
-  std::vector<QuotaOutcome> outcomes = std::exchange(m_found, {});
+  std::vector<QuotaOutcome> outcomes = std::exchange(m_pending_outcomes, {});
   for (QuotaGate& gate : m_gates) {
     const auto silent = gate.Tick(now);
     outcomes.insert(outcomes.end(), silent.begin(), silent.end());
-    const auto more = Ask(gate, now);
+    const auto more = ForwardQuotaRequests(gate, now);
     outcomes.insert(outcomes.end(), more.begin(), more.end());
   }
   m_keeper.ForgetUnused(now);
@@ -178,17 +185,21 @@
   return outcomes;
 }
 
-QuotaGrant ServerLimits::Grant(const QuotaAsk& ask, TimePoint now) {
+QuotaGrant ServerLimits::Grant(const QuotaRequest& quota_request,
+                               TimePoint now) {
   const auto region = std::find(m_regions.begin(), m_regions.end(), m_region);
   const auto own = static_cast<size_t>(region - m_regions.begin());
-  const bool is_keeper = ask.m_limit && m_gates[own].Directory().KeeperIn(
-                                            m_region, ask.m_subject) == m_vm;
+  const bool is_keeper =
+      quota_request.m_limit && m_gates[own].Directory().KeeperIn(
+                                   m_region, quota_request.m_subject) == m_vm;
   if (!is_keeper) {
-    return {.m_subject = ask.m_subject, .m_number = ask.m_number};
+    return {.m_subject = quota_request.m_subject,
+            .m_number = quota_request.m_number};
   }
-  const Known& known = Learn(ask.m_subject, own, *ask.m_limit, now);
-  return m_keeper.Grant(ask, TermsOf(known.m_per_second),
-                        m_may_be_replaced ? kPartsIfReplaced : 1, now);
+  const KnownLimit& known =
+      UpdateLimit(quota_request.m_subject, own, *quota_request.m_limit, now);
+  return m_keeper.Grant(quota_request, TermsOf(known.m_per_second),
+                        m_may_be_replaced ? kShareDivisorIfReplaced : 1, now);
 }
 
 size_t ServerLimits::WaitingCount() const {
@@ -200,12 +211,12 @@
 }
 
 void ServerLimits::ForgetUnused(TimePoint now) {
-  if (now - m_swept < kSweepInterval) {
+  if (now - m_last_sweep < kSweepInterval) {
     return;
   }
-  m_swept = now;
-  std::erase_if(m_known, [now](const auto& one) {
-    return now - one.second.m_used > kUnusedFor;
+  m_last_sweep = now;
+  std::erase_if(m_known_limits, [now](const auto& one) {
+    return now - one.second.m_used_at > kUnusedExpiry;
   });
 }
 
--- a/src/steer/server_limits.h
+++ b/src/steer/server_limits.h
@@ -1,4 +1,4 @@
-/// @file server_limits.h Requests to backend servers that limit their rate.
+/// @file server_limits.h Rate limits that backend servers name.
 
 #ifndef SORRELPLANK_STEER_SERVER_LIMITS_H_
 #define SORRELPLANK_STEER_SERVER_LIMITS_H_
@@ -19,92 +19,96 @@
 class ServerTrack;
 struct FleetMember;
 
-/// Holds the limit that a server names over all entry VMs together.
+/// Enforces the rate limit that a server names over all entry VMs together.
 ///
-/// Each VM that kept below the limit alone would send as much as all of them
-/// may, and equal parts would leave most of a small limit unused. So the limit
-/// is a quota with one keeper, a VM of the server's region. VMs of other
-/// regions leave the server to those while others serve: a token would take
-/// them as long as an answer of a server of their own.
+/// If each VM applied the limit by itself, every VM could send as much as all
+/// of them may together; equal shares would leave most of a small limit unused.
+/// So the limit is a quota with one keeper, a VM in the server's region. VMs of
+/// other regions use the server only if no other is available: getting a token
+/// would take them as long as a response of a server in their own region.
 class ServerLimits {
  public:
-  /// The own VM and its region, and all regions by their numbers.
+  /// Name and region of this VM, and all regions by region index.
   ServerLimits(std::string vm,
                std::string region,
                const std::vector<std::string>& regions);
 
   void SetFleet(const std::vector<FleetMember>& fleet, TimePoint now);
-  /// Whether another VM may have taken over what this one keeps.
+  /// Whether another VM may have taken over the quotas that this VM keeps.
   void SetMayBeReplaced(bool may_be) { m_may_be_replaced = may_be; }
 
-  /// Whether a request may try for the server now; true for servers without a
-  /// limit.
+  /// Whether a request may quota_request for a token for the server now; true
+  /// for servers without a limit.
   bool MayTry(const ServerTrack& server, TimePoint now) const;
-  /// Whether VMs of the server's region have it to themselves, as long as other
-  /// servers can be sent to. Not once this VM has heard nothing of the limit
-  /// for long: it may have ended.
-  bool IsLeftToItsRegion(const ServerTrack& server, TimePoint now) const;
+  /// Whether the server is reserved for the VMs of its own region as long as
+  /// other servers are available. False once the limit was named long ago,
+  /// since it may have ended.
+  bool IsReservedForItsRegion(const ServerTrack& server, TimePoint now) const;
 
-  /// When a server that may not be tried has a token again; zero where it may
-  /// be.
-  Duration WaitFor(const ServerTrack& server, TimePoint now) const;
+  /// Time until a server without tokens has one again; zero if MayTry().
+  Duration TimeUntilToken(const ServerTrack& server, TimePoint now) const;
 
-  /// A request is to be sent to a server with a limit. Where it waits, its
-  /// outcome comes from TakeGrant or Tick.
+  /// Takes a token for a request to a server with a limit. If the request has
+  /// to wait, TakeGrant() or Tick() returns its outcome.
   QuotaVerdict Arrived(RequestId request,
                        const ServerTrack& server,
                        TimePoint now);
-  /// A request that waits is given up.
-  void Left(RequestId request, const ServerTrack& server);
-  /// A request that got a token is not sent.
+  /// Removes a waiting request.
+  void CancelWait(RequestId request, const ServerTrack& server);
+  /// Returns the token of a request that is not sent.
   void Return(const ServerTrack& server, TimePoint now);
 
-  std::vector<QuotaQuestion> TakeQuestions();
-  /// Whether the quota is a server's limit that this VM asked for.
-  bool Knows(QuotaSubject subject) const { return m_known.contains(subject); }
+  std::vector<AddressedQuotaRequest> TakeQuotaRequests();
+  /// Whether the quota is a server's limit that this VM knows.
+  bool Knows(QuotaSubject subject) const {
+    return m_known_limits.contains(subject);
+  }
   std::vector<QuotaOutcome> TakeGrant(const QuotaGrant& grant, TimePoint now);
-  /// Keepers that stay silent, and requests whose outcome was found meanwhile.
+  /// Handles keepers that did not respond, and returns outcomes that were not
+  /// delivered yet.
   std::vector<QuotaOutcome> Tick(TimePoint now);
 
-  /// Another entry VM asks this one as the keeper.
-  QuotaGrant Grant(const QuotaAsk& ask, TimePoint now);
+  /// Responds as the keeper to a quota request of an entry VM.
+  QuotaGrant Grant(const QuotaRequest& quota_request, TimePoint now);
 
   size_t WaitingCount() const;
   size_t KeptCount() const { return m_keeper.Count(); }
 
  private:
   /// A limit that a server named.
-  struct Known {
+  struct KnownLimit {
     size_t m_region = 0;
     double m_per_second = 0;
-    TimePoint m_named;
-    TimePoint m_used;
+    TimePoint m_named_at;
+    TimePoint m_used_at;
   };
 
-  /// Notes a limit; of several words on one the newest counts.
-  const Known& Learn(QuotaSubject subject,
-                     size_t region,
-                     const NamedLimit& limit,
-                     TimePoint now);
+  /// Stores a limit; the most recently named value counts.
+  const KnownLimit& UpdateLimit(QuotaSubject subject,
+                                size_t region,
+                                const NamedLimit& limit,
+                                TimePoint now);
   QuotaGate& GateOf(const ServerTrack& server);
   const QuotaGate& GateOf(const ServerTrack& server) const;
-  /// Hands on what the gate asks; the own questions are answered at once.
-  std::vector<QuotaOutcome> Ask(QuotaGate& gate, TimePoint now);
+  /// Queues the gate's quota requests for sending; those to this VM are
+  /// answered at once.
+  std::vector<QuotaOutcome> ForwardQuotaRequests(QuotaGate& gate,
+                                                 TimePoint now);
   void ForgetUnused(TimePoint now);
 
   std::string m_vm;
   std::string m_region;
   std::vector<std::string> m_regions;
-  /// By the number of the server's region.
+  /// By the index of the server's region.
   std::vector<QuotaGate> m_gates;
   QuotaKeeper m_keeper;
   bool m_may_be_replaced = false;
-  /// What this VM asked for or was asked for.
-  std::unordered_map<QuotaSubject, Known> m_known;
-  std::vector<QuotaQuestion> m_questions;
-  /// Outcomes that were found while another request arrived.
-  std::vector<QuotaOutcome> m_found;
-  TimePoint m_swept{};
+  /// Limits that this VM sent or received quota requests for.
+  std::unordered_map<QuotaSubject, KnownLimit> m_known_limits;
+  std::vector<AddressedQuotaRequest> m_quota_requests;
+  /// Outcomes for other requests, found in Arrived(); returned by Tick().
+  std::vector<QuotaOutcome> m_pending_outcomes;
+  TimePoint m_last_sweep{};
 };
 
 }  // namespace sorrelplank
--- a/src/steer/server_notice_type.h
+++ b/src/steer/server_notice_type.h
@@ -1,4 +1,4 @@
-/// @file server_notice_type.h What a backend server asks of its callers.
+/// @file server_notice_type.h Notices in a response of a backend server.
 
 #ifndef SORRELPLANK_STEER_SERVER_NOTICE_TYPE_H_
 #define SORRELPLANK_STEER_SERVER_NOTICE_TYPE_H_
@@ -9,15 +9,15 @@
 
 namespace sorrelplank {
 
-/// What one answer of a backend server asks for.
+/// Notices to callers in one response of a backend server.
 struct ServerNotice {
-  /// Requests a second that it takes from all entry VMs together.
-  std::optional<double> m_most_per_second;
-  /// It leaves and wants no more requests.
+  /// Requests per second that it accepts from all entry VMs together.
+  std::optional<double> m_max_per_second;
+  /// It is shutting down and wants no more requests.
   bool m_is_leaving = false;
-  /// It wants no request from this VM for so long.
+  /// It wants no requests from this VM for this time.
   std::optional<Duration> m_pause;
-  /// A field that asks for something cannot be read.
+  /// Whether a notice field could not be parsed.
   bool m_is_malformed = false;
 };
 
--- a/src/steer/server_notices.cc
+++ b/src/steer/server_notices.cc
@@ -1,4 +1,4 @@
-/// @file server_notices.cc Beginnings and ends of what is asked.
+/// @file server_notices.cc Start and end of notices.
 
 #include "steer/server_notices.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Answers on several connections may overtake each other by less than this.
-/// One without the field that comes so soon behind one with it may be older,
-/// and ends nothing.
-constexpr Duration kLimitOutlives = seconds(1);
+/// Responses on several connections may overtake each other by less than this.
+/// One without a limit that arrives this soon after one with it may be older,
+/// and does not end the limit.
+constexpr Duration kMaxAnswerReordering = seconds(1);
 
 }  // namespace
 
@@ -23,17 +23,17 @@
   m_was_malformed |= notice.m_is_malformed;
   m_is_leaving |= notice.m_is_leaving;
   if (notice.m_pause) {
-    // Of two times asked for the later end holds: each is a word of its own.
+    // Each pause is requested independently, so the later end applies.
     m_paused_until = std::max(m_paused_until, now + *notice.m_pause);
   }
-  if (notice.m_most_per_second) {
-    m_most_per_second = notice.m_most_per_second;
-    m_limit_named = now;
+  if (notice.m_max_per_second) {
+    m_max_per_second = notice.m_max_per_second;
+    m_limit_named_at = now;
     return;
   }
   const bool says_none = may_end_limit && !notice.m_is_malformed;
-  if (says_none && now - m_limit_named >= kLimitOutlives) {
-    m_most_per_second.reset();
+  if (says_none && now - m_limit_named_at >= kMaxAnswerReordering) {
+    m_max_per_second.reset();
   }
 }
 
--- a/src/steer/server_picker.cc
+++ b/src/steer/server_picker.cc
@@ -44,11 +44,11 @@
   if (server.Notices().IsPaused(now)) {
     return true;
   }
-  if (need.m_limits == nullptr || !server.Notices().MostPerSecond()) {
+  if (need.m_limits == nullptr || !server.Notices().MaxPerSecond()) {
     return false;
   }
   const bool is_left_out = !need.m_takes_remote_limited &&
-                           need.m_limits->IsLeftToItsRegion(server, now);
+                           need.m_limits->IsReservedForItsRegion(server, now);
   return is_left_out || !need.m_limits->MayTry(server, now);
 }
 
@@ -126,9 +126,8 @@
     if (!IsUsable(*server) || WasTried(need, entry.m_instance)) {
       continue;
     }
-    const double load = need.m_keeps_objects_together
-                            ? 0
-                            : server->Occupancy(now) / entry.m_slots;
+    const double load =
+        need.m_has_object_affinity ? 0 : server->Occupancy(now) / entry.m_slots;
     const bool is_resting = Rests(*server, need, now);
     // Resting servers come last instead of dropping out: where all rest, the
     // cause is likely not theirs, and refusing everything would be worse.
@@ -148,7 +147,7 @@
                           const ServiceRules& rules,
                           const PickNeed& need,
                           TimePoint now) const {
-  if (need.m_keeps_objects_together) {
+  if (need.m_has_object_affinity) {
     const auto choice = PickAmongFirst(servers, rules, need, now);
     if (choice) {
       return *choice;
@@ -181,7 +180,7 @@
                                  size_t& considered,
                                  TimePoint now) const {
   const size_t choices =
-      need.m_keeps_objects_together ? kChoicesOfObject : ranked.size();
+      need.m_has_object_affinity ? kChoicesOfObject : ranked.size();
   Choice best;
   double first_time = 0;
   double free_time = 0;
@@ -208,7 +207,7 @@
     // the object to the second server over any wait. Value of the answers to
     // their callers under overload, of the most possible: 0.714 before, 0.731
     // after.
-    const bool is_warm = !need.m_keeps_objects_together || considered == 1 ||
+    const bool is_warm = !need.m_has_object_affinity || considered == 1 ||
                          server->IsWarmFor(need.m_object, now);
     const double time = wait + (is_warm ? 1 : ServerTrack::kNotWarmFactor);
     if (best.m_first == nullptr || time < first_time) {
--- a/src/steer/server_picker.h
+++ b/src/steer/server_picker.h
@@ -14,8 +14,8 @@
 #include "steer/cold_senders.h"
 #include "steer/domain_breaker.h"
 #include "steer/fleet_member_type.h"
+#include "steer/service_baseline_type.h"
 #include "steer/steering_settings_type.h"
-#include "steer/usual_service_type.h"
 
 namespace sorrelplank {
 
@@ -29,10 +29,10 @@
 struct PickNeed {
   /// Hash of the object that the request is about.
   uint64_t m_object = 0;
-  bool m_keeps_objects_together = false;
+  bool m_has_object_affinity = false;
   /// Instances that the request was sent to before.
   const std::vector<std::string>* m_tried = nullptr;
-  UsualService m_usual;
+  ServiceBaseline m_usual;
   /// Which servers with a limit may be tried; nullptr: all.
   const ServerLimits* m_limits = nullptr;
   /// Whether servers with a limit that are left to the VMs of their region may
--- a/src/steer/server_roster.cc
+++ b/src/steer/server_roster.cc
@@ -65,7 +65,7 @@
     }
     region.m_slots += static_cast<double>(slots);
     if (!picker.IsBreakerOpen(domain, now)) {
-      region.m_slots_within_reach += static_cast<double>(slots);
+      region.m_reachable_slots += static_cast<double>(slots);
     }
   }
   m_looked_at += m_special.size() + m_reported.size();
@@ -83,7 +83,7 @@
     const bool is_counted_within_reach =
         !picker.IsBreakerOpen(entry.m_failure_domain, now);
     if (is_counted_within_reach && !picker.IsWithinReach(*server, rules, now)) {
-      region.m_slots_within_reach -= entry.m_slots;
+      region.m_reachable_slots -= entry.m_slots;
     }
   }
   double load = 0;
--- a/src/steer/server_track.cc
+++ b/src/steer/server_track.cc
@@ -200,7 +200,7 @@
 }
 
 double ServerTrack::OccupancyLimit(TimePoint now,
-                                   const UsualService& usual) const {
+                                   const ServiceBaseline& usual) const {
   if (now < m_full_until) {
     return 0;
   }
@@ -210,7 +210,7 @@
   return m_entry.m_slots + kAtHand;
 }
 
-bool ServerTrack::IsResting(TimePoint now, const UsualService& usual) const {
+bool ServerTrack::IsResting(TimePoint now, const ServiceBaseline& usual) const {
   if (now < m_rests_until) {
     return true;
   }
@@ -220,7 +220,7 @@
                           std::max(kStalled, kStalledFactor * usual.m_latency);
 }
 
-bool ServerTrack::IsDegraded(const UsualService& usual) const {
+bool ServerTrack::IsDegraded(const ServiceBaseline& usual) const {
   if (m_rejections > kBadPart + 2 * usual.m_rejections ||
       m_failures > kBadPart) {
     return true;
--- a/src/steer/server_track.h
+++ b/src/steer/server_track.h
@@ -15,7 +15,7 @@
 #include "steer/server_entry_type.h"
 #include "steer/server_load_type.h"
 #include "steer/server_notices.h"
-#include "steer/usual_service_type.h"
+#include "steer/service_baseline_type.h"
 
 namespace sorrelplank {
 
@@ -56,15 +56,15 @@
   /// entry VMs; nothing where it has not reported lately.
   std::optional<double> RecentLoad(TimePoint now) const;
   /// Requests that it should have under way at the most.
-  double OccupancyLimit(TimePoint now, const UsualService& usual) const;
+  double OccupancyLimit(TimePoint now, const ServiceBaseline& usual) const;
   /// Whether it fails, or answers nothing at all, so that it should be given no
   /// requests now.
-  bool IsResting(TimePoint now, const UsualService& usual) const;
+  bool IsResting(TimePoint now, const ServiceBaseline& usual) const;
   /// Another instance answers at its address: this one is gone.
   void MarkGone() { m_gone = true; }
   bool IsGone() const { return m_gone; }
   /// Whether it is much slower than usual, or rejects a large part.
-  bool IsDegraded(const UsualService& usual) const;
+  bool IsDegraded(const ServiceBaseline& usual) const;
 
   bool IsCold(TimePoint now) const { return now < m_cold_until; }
   /// From now on it counts as cold for at least the given time.
--- a/src/steer/start_gate.cc
+++ b/src/steer/start_gate.cc
@@ -1,4 +1,4 @@
-/// @file start_gate.cc Steps of the clients' port.
+/// @file start_gate.cc State of the clients' port.
 
 #include "steer/start_gate.h"
 
@@ -12,7 +12,7 @@
     m_is_open = true;
     return Step::kOpen;
   }
-  if (now - m_started < kMostHeld) {
+  if (now - m_started < kMaxHoldTime) {
     return Step::kNone;
   }
   m_is_open = false;
--- a/src/steer/start_gate.h
+++ b/src/steer/start_gate.h
@@ -1,4 +1,4 @@
-/// @file start_gate.h Whether a VM without a routing table takes connections.
+/// @file start_gate.h Closes the clients' port of a VM without a routing table.
 
 #ifndef SORRELPLANK_STEER_START_GATE_H_
 #define SORRELPLANK_STEER_START_GATE_H_
@@ -7,19 +7,20 @@
 
 namespace sorrelplank {
 
-/// Longest time that requests are held while the table and the servers are read
-/// for the first time. Across regions, with all VMs starting at once, that took
-/// up to 0.7 s.
-constexpr Duration kMostHeld = seconds(1);
+/// Maximum time that requests are held while the routing table and the servers
+/// are read for the first time. Across regions, with all VMs starting at once,
+/// reading takes up to 0.7 s.
+constexpr Duration kMaxHoldTime = seconds(1);
 
-/// Opens and closes the clients' port of a VM that knows nothing yet.
+/// Decides when a VM without a routing table opens and closes the clients'
+/// port.
 ///
-/// Load pattern: a VM restarts while the store is away and can serve nothing.
-/// Clients spread over all VMs that they know, and a client that is refused
-/// comes back to any of them, this one too: with four of nine VMs restarted, 36
-/// in 100 requests were refused in the worst two seconds, and 14 once the VMs
-/// closed the port. A client whose connection is not taken leaves the address
-/// out and goes to a VM that can serve.
+/// Load pattern: a VM restarts while the store is unavailable and cannot serve.
+/// Clients spread over all VMs that they know, and a refused client retries at
+/// any of them, this one included: with four of nine VMs restarted, 36 in 100
+/// requests were refused in the worst two seconds, and 14 with the port closed.
+/// A client whose connection is not accepted skips the address and goes to a VM
+/// that can serve.
 class StartGate {
  public:
   enum class Step { kNone, kClose, kOpen };
--- a/src/steer/steer_action_type.h
+++ b/src/steer/steer_action_type.h
@@ -13,7 +13,7 @@
 #include "core/time_type.h"
 #include "core/vm_record_type.h"
 #include "steer/admission.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 #include "steer/quota_message_type.h"
 #include "steer/steer_refusal_type.h"
 
@@ -130,14 +130,14 @@
 
 /// These facts no longer count; to be told to the other VMs.
 struct CrashesForgotten {
-  std::vector<CrashFact> m_facts;
+  std::vector<CrashRecord> m_facts;
   /// "answered" or "expired".
   const char* m_reason = "";
 };
 
 /// Ask another entry VM for tokens of a quota; TakeQuotaGrant tells the answer.
 struct AskForTokens {
-  QuotaQuestion m_question;
+  AddressedQuotaRequest m_question;
 };
 
 using SteerAction = std::variant<SendToServer,
--- a/src/steer/steer_refusal_type.h
+++ b/src/steer/steer_refusal_type.h
@@ -1,4 +1,4 @@
-/// @file steer_refusal_type.h Why a request gets no backend server's answer.
+/// @file steer_refusal_type.h Reasons for refusing a request.
 
 #ifndef SORRELPLANK_STEER_STEER_REFUSAL_TYPE_H_
 #define SORRELPLANK_STEER_STEER_REFUSAL_TYPE_H_
@@ -10,7 +10,8 @@
 
 namespace sorrelplank {
 
-/// Reasons; rows of table/steer_refusal_table.h.
+/// Why a request gets no backend server's response; rows are in
+/// table/steer_refusal_table.h.
 enum class SteerRefusal : uint8_t {
   kNotReady,
   kNoRoute,
@@ -29,13 +30,13 @@
   kCount,
 };
 
-/// What a client is told for a reason.
+/// The response to a client for a reason.
 struct SteerRefusalRow {
   SteerRefusal m_reason;
   int m_status;
-  /// The name in logs, metrics and answers.
+  /// Name in logs, metrics and responses.
   const char* m_name;
-  /// What the status promises. 503 goes with kNotRun only.
+  /// Whether the request may have run. Status 503 requires kNotRun.
   Verdict m_verdict;
 };
 
--- a/src/steer/steered_service.cc
+++ b/src/steer/steered_service.cc
@@ -81,13 +81,13 @@
 LineState SteeredService::Line(const ServerTrack* server, TimePoint now) const {
   LineState line;
   if (server == nullptr) {
-    line.m_usual_latency = m_times.Usual(m_own);
+    line.m_usual_latency = m_times.Mean(m_own);
     return line;
   }
-  line.m_usual_latency = m_times.Usual(server->Region());
+  line.m_usual_latency = m_times.Mean(server->Region());
   line.m_ahead = server->Waiting();
   const double work_s =
-      std::max(kLeastWork, ToMilliseconds(m_times.Work(server->Region()))) /
+      std::max(kLeastWork, ToMilliseconds(m_times.SlotTime(server->Region()))) /
       1000;
   // Slots that come free go to whoever sends first: to us by our part.
   const double occupancy = std::max(1.0, server->Occupancy(now));
--- a/src/steer/steered_service.h
+++ b/src/steer/steered_service.h
@@ -14,9 +14,9 @@
 #include "core/ids_type.h"
 #include "core/time_type.h"
 #include "steer/admission.h"
+#include "steer/region_latencies.h"
 #include "steer/region_shares.h"
-#include "steer/region_times.h"
-#include "steer/retry_allowance.h"
+#include "steer/retry_budget_share.h"
 #include "steer/server_roster.h"
 #include "steer/server_track.h"
 
@@ -45,7 +45,7 @@
 
   /// Notes the end of a send.
   void CountEnd(const ServerTrack& server, const AttemptReport& report);
-  UsualService Usual() const { return {m_latency.Get(), m_rejections}; }
+  ServiceBaseline Usual() const { return {m_latency.Get(), m_rejections}; }
   /// The line at a server; at none where it is nullptr.
   LineState Line(const ServerTrack* server, TimePoint now) const;
 
@@ -64,7 +64,7 @@
   const RegionShares& Shares() const { return m_shares; }
   /// The own region's share if it has changed much since this last told it.
   std::optional<double> ShareToTell();
-  RetryAllowance& Retries() { return m_retries; }
+  RetryBudgetShare& Retries() { return m_retries; }
   /// Waiting requests in the order in which they are served.
   std::list<RequestId>& Waiting() { return m_waiting; }
 
@@ -74,11 +74,11 @@
   std::map<std::string, std::shared_ptr<ServerTrack>> m_servers;
   RegionShares m_shares;
   double m_told_share = 1;
-  RetryAllowance m_retries;
+  RetryBudgetShare m_retries;
   std::optional<TimePoint> m_last_request;
   std::list<RequestId> m_waiting;
   QuantileTrack m_latency{0.5};
-  RegionTimes m_times;
+  RegionLatencies m_times;
   double m_rejections = 0;
 };
 
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -144,7 +144,7 @@
     // come back; the table is there sooner than it would be back.
     request.m_awaits_table = true;
     request.m_finish_by =
-        now + std::min<Duration>(request.m_facts.m_time_left, kMostHeld);
+        now + std::min<Duration>(request.m_facts.m_time_left, kMaxHoldTime);
     m_awaiting_table.push_back(id);
     return;
   }
@@ -191,7 +191,7 @@
   const Duration time =
       std::min(request.m_facts.m_time_left, request.m_route->m_timeout);
   request.m_finish_by = request.m_arrived + time;
-  if (m_crashes.IsHeld(request.m_facts.m_digest, now)) {
+  if (m_crashes.IsHeldBack(request.m_facts.m_digest, now)) {
     // Repeated without end, it would end one server after the other, and with
     // each one the requests of other callers that run there.
     Refuse(request, SteerRefusal::kHeldBack, now);
@@ -218,7 +218,7 @@
     return nullptr;
   }
   need.m_object = request.m_facts.m_object;
-  need.m_keeps_objects_together = request.m_route->m_keeps_objects_together;
+  need.m_has_object_affinity = request.m_route->m_has_object_affinity;
   need.m_tried = &request.m_tried;
   need.m_usual = service.Usual();
   need.m_limits = &m_server_limits;
@@ -261,8 +261,8 @@
     }
   }
   const double apart = m_settings.m_most_shift * kApartPart;
-  return {.m_least = most_away - apart,
-          .m_most = std::max(0.0, least_away) + apart};
+  return {.m_min = most_away - apart,
+          .m_max = std::max(0.0, least_away) + apart};
 }
 
 void Steering::UpdateShares(TimePoint now) {
--- a/src/steer/steering.h
+++ b/src/steer/steering.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "steer/attempt_report_type.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 #include "steer/crash_register.h"
 #include "steer/even_dealer.h"
 #include "steer/notice_archive.h"
@@ -92,9 +92,9 @@
                      ServerReach reach,
                      TimePoint now);
   /// Another VM saw a server end under a request, so long ago.
-  void TakeCrash(const CrashFact& fact, Duration age, TimePoint now);
+  void TakeCrash(const CrashRecord& fact, Duration age, TimePoint now);
   /// Another VM saw the request answered, or an operator released it.
-  void DropCrash(const CrashFact& fact, TimePoint now);
+  void DropCrash(const CrashRecord& fact, TimePoint now);
   const CrashRegister& Crashes() const { return m_crashes; }
 
   // Quotas of organisations.
@@ -105,7 +105,7 @@
     m_server_limits.SetMayBeReplaced(may_be);
   }
   /// Another entry VM asks this one as a keeper.
-  QuotaGrant AnswerQuotaAsk(const QuotaAsk& ask, TimePoint now);
+  QuotaGrant AnswerQuotaAsk(const QuotaRequest& ask, TimePoint now);
   /// What came of AskForTokens.
   void TakeQuotaGrant(const QuotaGrant& grant, TimePoint now);
 
--- a/src/steer/steering_crashes.cc
+++ b/src/steer/steering_crashes.cc
@@ -1,5 +1,5 @@
-/// @file steering_crashes.cc Requests that servers ended under: found, told,
-/// held back.
+/// @file steering_crashes.cc Detects, reports and holds back requests that
+/// crash backend servers.
 
 #include <algorithm>
 #include <utility>
@@ -10,27 +10,29 @@
 
 namespace {
 
-/// Servers that ended under a request after which it is not sent on at once.
-/// Each end takes other requests along: after one, most are innocent, and are
-/// sent on; two in a row are seldom chance.
-constexpr size_t kEndsWithoutResend = 2;
-/// Old facts are looked for this often.
+/// Crashes after which a request is not retried at once. A crash also hits the
+/// other requests at the server: after a single one, most requests did not
+/// cause it and are retried at once; two in a row are rarely chance.
+constexpr size_t kCrashesToDelayRetry = 2;
+/// Interval between searches for expired records.
 constexpr Duration kCrashSweepInterval = seconds(1);
 
 }  // namespace
 
 bool Steering::MayHaveEndedIn(const ServerTrack& server) const {
-  // One that leaves may close its connections at its planned end.
+  // A server that is shutting down may close its connections at its planned
+  // end.
   return IsListed(server) && m_picker.IsUsable(server);
 }
 
 bool Steering::IsSuspect(const SteeredRequest& request, TimePoint now) const {
-  return m_crashes.Ends(request.m_facts.m_digest, now) > 0;
+  return m_crashes.CrashCount(request.m_facts.m_digest, now) > 0;
 }
 
 bool Steering::MayCrashNext(const SteeredRequest& request,
                             TimePoint now) const {
-  return m_crashes.Ends(request.m_facts.m_digest, now) >= kEndsWithoutResend;
+  return m_crashes.CrashCount(request.m_facts.m_digest, now) >=
+         kCrashesToDelayRetry;
 }
 
 void Steering::CountLost(SteeredRequest& request,
@@ -45,12 +47,13 @@
   if (!MayHaveEndedIn(server)) {
     return;
   }
-  const size_t ends = m_crashes.Ends(request.m_facts.m_digest, now) + 1;
-  // Sent on before the check, it could end the next server. One that was at no
-  // end before, and was lost for the first time, does not wait.
+  const size_t crashes =
+      m_crashes.CrashCount(request.m_facts.m_digest, now) + 1;
+  // Retried before the check, the request could crash the next server. It does
+  // not wait if this was its first loss and no crash is known for it.
   request.m_awaits_check =
       request.m_route->m_idempotent && request.m_live.empty() &&
-      std::max<size_t>(ends, request.m_lost_sends) >= kEndsWithoutResend;
+      std::max<size_t>(crashes, request.m_lost_sends) >= kCrashesToDelayRetry;
   CheckServer(request, server);
 }
 
@@ -82,7 +85,7 @@
   const std::vector<UnsettledEnd> ends = std::move(it->second);
   m_unsettled_ends.erase(it);
   for (const UnsettledEnd& end : ends) {
-    if (reach == ServerReach::kRefuses) {
+    if (reach == ServerReach::kRefusesConnections) {
       NoteOwnCrash(end.m_report, now);
     }
     const auto request = m_requests.find(end.m_request);
@@ -94,32 +97,35 @@
 }
 
 void Steering::NoteOwnCrash(const CrashReport& report, TimePoint now) {
-  const auto change = m_crashes.Note(report.m_fact, Duration::zero(), now);
+  const auto change = m_crashes.Add(report.m_record, Duration::zero(), now);
   if (change == CrashRegister::Change::kNone) {
     return;
   }
-  m_sink(RequestSuspected{report, m_crashes.Ends(report.m_fact.m_digest, now)});
+  m_sink(RequestSuspected{report,
+                          m_crashes.CrashCount(report.m_record.m_digest, now)});
   if (change == CrashRegister::Change::kHeld) {
-    HoldBack(report.m_fact.m_digest, now);
+    HoldBack(report.m_record.m_digest, now);
   }
 }
 
-void Steering::TakeCrash(const CrashFact& fact, Duration age, TimePoint now) {
-  if (m_crashes.Note(fact, age, now) == CrashRegister::Change::kHeld) {
-    HoldBack(fact.m_digest, now);
+void Steering::TakeCrash(const CrashRecord& record,
+                         Duration age,
+                         TimePoint now) {
+  if (m_crashes.Add(record, age, now) == CrashRegister::Change::kHeld) {
+    HoldBack(record.m_digest, now);
   }
 }
 
-void Steering::DropCrash(const CrashFact& fact, TimePoint now) {
-  const bool was_held = m_crashes.IsHeld(fact.m_digest, now);
-  m_crashes.Remove(fact);
-  if (was_held && !m_crashes.IsHeld(fact.m_digest, now)) {
-    m_sink(HoldEnded{fact.m_digest});
+void Steering::DropCrash(const CrashRecord& record, TimePoint now) {
+  const bool was_held = m_crashes.IsHeldBack(record.m_digest, now);
+  m_crashes.Remove(record);
+  if (was_held && !m_crashes.IsHeldBack(record.m_digest, now)) {
+    m_sink(HoldEnded{record.m_digest});
   }
 }
 
 void Steering::HoldBack(const RequestDigest& digest, TimePoint now) {
-  m_sink(RequestHeld{digest, m_crashes.Ends(digest, now)});
+  m_sink(RequestHeld{digest, m_crashes.CrashCount(digest, now)});
   std::vector<RequestId> same;
   for (const auto& [id, request] : m_requests) {
     const bool is_begun = request.m_route != nullptr;
@@ -129,7 +135,8 @@
   }
   for (const RequestId id : same) {
     SteeredRequest& request = m_requests.at(id);
-    // A server that has not begun with it drops it with its connection.
+    // A server that has not started the request drops it with the connection,
+    // but it is unknown whether it had.
     request.m_may_have_run |= !request.m_live.empty();
     CancelLive(request, false, now);
     Refuse(request, SteerRefusal::kHeldBack, now);
@@ -137,7 +144,7 @@
 }
 
 void Steering::ClearSuspicion(const RequestDigest& digest, TimePoint now) {
-  if (m_crashes.Ends(digest, now) == 0) {
+  if (m_crashes.CrashCount(digest, now) == 0) {
     return;
   }
   m_sink(CrashesForgotten{m_crashes.Clear(digest), "answered"});
@@ -148,7 +155,8 @@
     return;
   }
   m_crashes_swept = now;
-  std::vector<CrashFact> expired = m_crashes.TakeExpired(m_removal_spread, now);
+  std::vector<CrashRecord> expired =
+      m_crashes.TakeExpired(m_removal_spread, now);
   if (!expired.empty()) {
     m_sink(CrashesForgotten{std::move(expired), "expired"});
   }
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -26,7 +26,7 @@
   refusal.m_waited = now - request.m_arrived;
   refusal.m_table_version = m_table ? m_table->m_version : 0;
   refusal.m_sends = static_cast<uint32_t>(request.m_tried.size());
-  refusal.m_ends = m_crashes.Ends(request.m_facts.m_digest, now);
+  refusal.m_ends = m_crashes.CrashCount(request.m_facts.m_digest, now);
   refusal.m_organisation = NameOf(request.m_organisation);
   if (!request.m_service.empty()) {
     SteeredService& service = Service(request.m_service);
@@ -41,12 +41,13 @@
     }
   }
   if (reason == SteerRefusal::kHeldBack) {
-    refusal.m_retry_after = m_crashes.HeldFor(request.m_facts.m_digest, now);
+    refusal.m_retry_after =
+        m_crashes.HeldBackTimeLeft(request.m_facts.m_digest, now);
   }
   const bool lacks_token = reason == SteerRefusal::kOverQuota ||
                            reason == SteerRefusal::kQuotaOutOfReach;
   if (lacks_token) {
-    refusal.m_retry_after = Spread(m_quota_gate.ComeBackAfter(HashOrganisation(
+    refusal.m_retry_after = Spread(m_quota_gate.RetryAfter(HashOrganisation(
                                        request.m_organisation->m_name)),
                                    refusal.m_request.Get());
   }
@@ -75,7 +76,7 @@
     if (m_picker.IsUsable(*server)) {
       const Duration left =
           std::max<Duration>(server->Notices().PausedUntil() - now,
-                             m_server_limits.WaitFor(*server, now));
+                             m_server_limits.TimeUntilToken(*server, now));
       first = std::min(left, first.value_or(left));
     }
   }
@@ -127,7 +128,7 @@
 void Steering::CountEnd(ServerTrack& server,
                         const AttemptReport& report,
                         TimePoint now) {
-  const UsualService usual = Service(server.Entry().m_service).Usual();
+  const ServiceBaseline usual = Service(server.Entry().m_service).Usual();
   const uint32_t failures = server.FailuresInRow();
   const ServerNotices notices = server.Notices();
   server.CountEnd(report, now);
@@ -154,10 +155,10 @@
                             TimePoint now) {
   const std::string& instance = server.Entry().m_instance;
   const ServerNotices& after = server.Notices();
-  if (after.MostPerSecond() != before.MostPerSecond()) {
+  if (after.MaxPerSecond() != before.MaxPerSecond()) {
     m_sink(BeliefChanged{
-        after.MostPerSecond() ? "server_limit" : "server_unlimited", instance,
-        after.MostPerSecond().value_or(0)});
+        after.MaxPerSecond() ? "server_limit" : "server_unlimited", instance,
+        after.MaxPerSecond().value_or(0)});
   }
   if (after.IsLeaving() && !before.IsLeaving()) {
     m_sink(BeliefChanged{"server_says_leaving", instance, 1});
@@ -184,14 +185,14 @@
   const std::string& domain = server.Entry().m_failure_domain;
   DomainBreaker& breaker = m_picker.Breaker(domain);
   if (end == AttemptEnd::kNotSent) {
-    if (breaker.CountUnreached(server.Entry().m_instance, now)) {
+    if (breaker.CountConnectFailure(server.Entry().m_instance, now)) {
       m_sink(BeliefChanged{"domain_out_of_reach", domain, 0});
       UpdateShares(now);
     }
     return;
   }
   // A send that is lost may have been written into a link that is cut.
-  if (end != AttemptEnd::kLost && breaker.CountReached()) {
+  if (end != AttemptEnd::kLost && breaker.CountConnectSuccess()) {
     m_sink(BeliefChanged{"domain_within_reach", domain, 0});
   }
 }
--- a/src/steer/steering_knowledge.cc
+++ b/src/steer/steering_knowledge.cc
@@ -169,7 +169,7 @@
   if (m_settings.m_retry_window != settings.m_retry_window) {
     m_settings.m_retry_window = settings.m_retry_window;
     for (auto& [name, service] : m_services) {
-      service->Retries() = RetryAllowance(settings.m_retry_window);
+      service->Retries() = RetryBudgetShare(settings.m_retry_window);
     }
   }
   m_settings.m_cold_factor = settings.m_cold_factor;
@@ -217,7 +217,7 @@
 size_t Steering::LimitedServers() const {
   return static_cast<size_t>(
       std::count_if(m_servers.begin(), m_servers.end(), [](const auto& one) {
-        return one.second->Notices().MostPerSecond().has_value();
+        return one.second->Notices().MaxPerSecond().has_value();
       }));
 }
 
--- a/src/steer/steering_limits.cc
+++ b/src/steer/steering_limits.cc
@@ -1,4 +1,4 @@
-/// @file steering_limits.cc Tokens for servers that limit their rate.
+/// @file steering_limits.cc Tokens for servers with a rate limit.
 
 #include <utility>
 
@@ -19,8 +19,8 @@
     case QuotaVerdict::kWait:
       request.m_awaits_server = m_servers.at(server->Entry().m_instance);
       return true;
-    case QuotaVerdict::kOver:
-    case QuotaVerdict::kOutOfReach:
+    case QuotaVerdict::kExhausted:
+    case QuotaVerdict::kKeepersUnreachable:
       break;
   }
   return false;
@@ -46,7 +46,7 @@
 
 void Steering::StopAwaitingServer(SteeredRequest& request) {
   const auto server = std::exchange(request.m_awaits_server, nullptr);
-  m_server_limits.Left(request.m_facts.m_request, *server);
+  m_server_limits.CancelWait(request.m_facts.m_request, *server);
 }
 
 }  // namespace sorrelplank
--- a/src/steer/steering_quotas.cc
+++ b/src/steer/steering_quotas.cc
@@ -1,4 +1,4 @@
-/// @file steering_quotas.cc Tokens of organisations' quotas.
+/// @file steering_quotas.cc Tokens for organisations' quotas.
 
 #include <utility>
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// A keeper that may have been replaced has a part so much smaller: cut off
-/// with those that still ask it, it grants beside the one in its place.
-constexpr size_t kPartsIfReplaced = 3;
+/// Divides the share of a keeper that may have been replaced: cut off together
+/// with VMs that still ask it, it grants tokens in addition to its replacement.
+constexpr size_t kShareDivisorIfReplaced = 3;
 
 }  // namespace
 
@@ -27,37 +27,40 @@
 }
 
 void Steering::AskKeepers(TimePoint now) {
-  for (QuotaQuestion& question : m_quota_gate.TakeQuestions()) {
-    if (question.m_keeper == m_settings.m_vm) {
-      TakeQuotaGrant(AnswerQuotaAsk(question.m_ask, now), now);
+  for (AddressedQuotaRequest& addressed : m_quota_gate.TakeQuotaRequests()) {
+    if (addressed.m_keeper == m_settings.m_vm) {
+      TakeQuotaGrant(AnswerQuotaAsk(addressed.m_quota_request, now), now);
     } else {
-      m_sink(AskForTokens{std::move(question)});
+      m_sink(AskForTokens{std::move(addressed)});
     }
   }
-  for (QuotaQuestion& question : m_server_limits.TakeQuestions()) {
-    m_sink(AskForTokens{std::move(question)});
+  for (AddressedQuotaRequest& addressed : m_server_limits.TakeQuotaRequests()) {
+    m_sink(AskForTokens{std::move(addressed)});
   }
 }
 
-QuotaGrant Steering::AnswerQuotaAsk(const QuotaAsk& ask, TimePoint now) {
-  if (ask.m_limit) {
-    return m_server_limits.Grant(ask, now);
+QuotaGrant Steering::AnswerQuotaAsk(const QuotaRequest& quota_request,
+                                    TimePoint now) {
+  if (quota_request.m_limit) {
+    return m_server_limits.Grant(quota_request, now);
   }
   QuotaGrant grant;
-  grant.m_subject = ask.m_subject;
-  grant.m_number = ask.m_number;
+  grant.m_subject = quota_request.m_subject;
+  grant.m_number = quota_request.m_number;
   const Organisation* organisation =
-      m_organisations ? m_organisations->FindByName(ask.m_subject) : nullptr;
+      m_organisations ? m_organisations->FindByName(quota_request.m_subject)
+                      : nullptr;
   const bool is_keeper =
       HasLimit(organisation) &&
-      m_quota_gate.Directory().KeeperIn(m_settings.m_region, ask.m_subject) ==
-          m_settings.m_vm;
+      m_quota_gate.Directory().KeeperIn(
+          m_settings.m_region, quota_request.m_subject) == m_settings.m_vm;
   if (!is_keeper) {
     return grant;
   }
-  const size_t keepers =
-      m_quota_gate.KeeperCount() * (m_may_be_replaced ? kPartsIfReplaced : 1);
-  return m_quota_keeper.Grant(ask, TermsOf(*organisation), keepers, now);
+  const size_t keepers = m_quota_gate.KeeperCount() *
+                         (m_may_be_replaced ? kShareDivisorIfReplaced : 1);
+  return m_quota_keeper.Grant(quota_request, TermsOf(*organisation), keepers,
+                              now);
 }
 
 void Steering::TakeQuotaGrant(const QuotaGrant& grant, TimePoint now) {
@@ -81,10 +84,10 @@
         request.m_has_token = true;
         Begin(request, now);
         break;
-      case QuotaVerdict::kOver:
+      case QuotaVerdict::kExhausted:
         Refuse(request, SteerRefusal::kOverQuota, now);
         break;
-      case QuotaVerdict::kOutOfReach:
+      case QuotaVerdict::kKeepersUnreachable:
         Refuse(request, SteerRefusal::kQuotaOutOfReach, now);
         break;
     }
@@ -101,8 +104,8 @@
 }
 
 void Steering::StopAwaitingToken(SteeredRequest& request) {
-  m_quota_gate.Left(request.m_facts.m_request,
-                    HashOrganisation(request.m_organisation->m_name));
+  m_quota_gate.CancelWait(request.m_facts.m_request,
+                          HashOrganisation(request.m_organisation->m_name));
   request.m_awaits_token = false;
 }
 
--- a/src/steer/steering_requests.cc
+++ b/src/steer/steering_requests.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "steer/kept_connections_func.h"
+#include "steer/idle_connections_func.h"
 #include "steer/steering.h"
 
 namespace sorrelplank {
@@ -101,7 +101,7 @@
   if (request.m_resend_paid) {
     return true;
   }
-  if (request.m_arrivals >= request.m_route->m_most_sends ||
+  if (request.m_arrivals >= request.m_route->m_max_sends ||
       request.m_tried.size() >= kMostTries) {
     return false;
   }
@@ -146,7 +146,7 @@
   if (rate_limit && !server->TryTakeRate(*rate_limit, now)) {
     return false;
   }
-  if (server->Notices().MostPerSecond()) {
+  if (server->Notices().MaxPerSecond()) {
     return TakeServerToken(request, server, now);
   }
   Send(request, server, now);
@@ -167,8 +167,8 @@
   request.m_live.push_back({attempt, m_servers.at(entry.m_instance), now});
   request.m_tried.push_back(entry.m_instance);
   ++request.m_arrivals;
-  const size_t most_kept = MostKeptConnections(
-      RulesOf(entry.m_service).m_most_connections, m_picker.Fleet().size());
+  const size_t most_kept = MaxIdleConnections(
+      RulesOf(entry.m_service).m_max_connections, m_picker.Fleet().size());
   m_sink(
       SendToServer{.m_request = request.m_facts.m_request,
                    .m_attempt = attempt,
@@ -333,7 +333,7 @@
   }
   ServerTrack* const server = Choose(request, now).m_free;
   // A copy is not worth a token that another request may be sent with.
-  if (server != nullptr && !server->Notices().MostPerSecond()) {
+  if (server != nullptr && !server->Notices().MaxPerSecond()) {
     TrySend(request, server, now);
   }
 }
--- a/tests/crash_notes_test.cc
+++ b/tests/crash_notes_test.cc
@@ -107,7 +107,7 @@
 }
 
 Test(CrashNotes, KeyAndValue_ReadAgain_TellTheSame) {
-  const CrashFact fact{kDigest, "i-1@1700000000000"};
+  const CrashRecord fact{kDigest, "i-1@1700000000000"};
   cr_assert(DecodeCrashKey(CrashKey(fact)) == fact);
   const std::string value =
       EncodeCrash({{fact, "s", "h", std::string(500, 'x') + "\xff"},
--- a/tests/crash_world.cc
+++ b/tests/crash_world.cc
@@ -1,4 +1,4 @@
-/// @file crash_world.cc Links, servers, callers.
+/// @file crash_world.cc Links, servers and callers of the crash simulation.
 
 #include "tests/crash_world.h"
 
@@ -16,8 +16,8 @@
 constexpr Duration kWork = milliseconds(100);
 constexpr Duration kTimeToCrash = milliseconds(60);
 constexpr Duration kDownTime = seconds(3);
-constexpr Duration kEntryLapses = milliseconds(4500);
-constexpr Duration kClientWaits = seconds(3);
+constexpr Duration kEntryLapseTime = milliseconds(4500);
+constexpr Duration kClientTimeout = seconds(3);
 constexpr size_t kSlots = 4;
 constexpr size_t kQueueLength = 12;
 constexpr size_t kObjects = 30;
@@ -30,7 +30,7 @@
   std::unique_ptr<Steering> m_steering;
   std::map<RequestId, std::function<void(CrashWorldEnd)>> m_callers;
   std::map<RequestId, RequestDigest> m_digests;
-  /// It hears nothing of the others.
+  /// It exchanges no crash records with other VMs.
   bool m_is_cut_off = false;
 };
 
@@ -47,19 +47,19 @@
 struct CrashWorld::Server {
   size_t m_number = 0;
   std::string m_domain;
-  /// Of the run; empty while it is down.
+  /// Instance of the current run; empty while the server is down.
   std::string m_instance;
   uint64_t m_runs = 0;
   std::vector<Work> m_work;
 };
 
 CrashWorld::CrashWorld(size_t vms, size_t servers, uint32_t seed, Duration news)
-    : m_news(news), m_random(seed) {
+    : m_propagation_delay(news), m_random(seed) {
   auto table = std::make_shared<RoutingTable>();
   table->m_version = 1;
   table->m_routes = {MakeRoute("/read/", true)};
   table->m_services["s"] = {.m_name = "s",
-                            .m_most_connections = 400,
+                            .m_max_connections = 400,
                             .m_cold_start = seconds(3),
                             .m_cold_per_second = 4};
   m_table = std::move(table);
@@ -106,12 +106,12 @@
       steering.PutServer(EntryOf(*server, Duration{}), m_queue.Now());
     }
   }
-  for (const CrashFact& fact : m_store) {
-    steering.TakeCrash(fact, seconds(1), m_queue.Now());
+  for (const CrashRecord& record : m_store) {
+    steering.TakeCrash(record, seconds(1), m_queue.Now());
   }
 }
 
-void CrashWorld::CutOffFromNews(size_t vm) {
+void CrashWorld::CutOffFromCrashRecords(size_t vm) {
   m_vms[vm]->m_is_cut_off = true;
 }
 
@@ -130,7 +130,7 @@
   }
 }
 
-size_t CrashWorld::AnyVm() {
+size_t CrashWorld::RandomVm() {
   return m_random() % m_vms.size();
 }
 
@@ -142,42 +142,44 @@
   return m_crashing.contains(digest);
 }
 
-void CrashWorld::Ask(size_t vm, const RequestDigest& digest, uint64_t object) {
+void CrashWorld::SendRequest(size_t vm,
+                             const RequestDigest& digest,
+                             uint64_t object) {
   const RequestId id(m_next++);
   m_vms[vm]->m_digests[id] = digest;
   m_vms[vm]->m_steering->Arrived(
-      {id, "h", "/read/x", object, kClientWaits, digest}, m_queue.Now());
+      {id, "h", "/read/x", object, kClientTimeout, digest}, m_queue.Now());
 }
 
-void CrashWorld::StartSoundRequests(int per_second) {
+void CrashWorld::StartNormalRequests(int per_second) {
   m_queue.After(Duration{seconds(1)} / per_second,
-                [this, per_second] { AskSound(per_second); });
+                [this, per_second] { SendNormalRequest(per_second); });
 }
 
-void CrashWorld::AskSound(int per_second) {
-  ++m_sound.m_asked;
-  AskSoundOnce({.m_high = 1, .m_low = m_next}, m_random() % kObjects, 1);
-  StartSoundRequests(per_second);
+void CrashWorld::SendNormalRequest(int per_second) {
+  ++m_normal.m_sent;
+  SendNormalAttempt({.m_high = 1, .m_low = m_next}, m_random() % kObjects, 1);
+  StartNormalRequests(per_second);
 }
 
-void CrashWorld::AskSoundOnce(const RequestDigest& digest,
-                              uint64_t object,
-                              int retries) {
-  const size_t vm = AnyVm();
+void CrashWorld::SendNormalAttempt(const RequestDigest& digest,
+                                   uint64_t object,
+                                   int retries) {
+  const size_t vm = RandomVm();
   const RequestId id(m_next);
   m_vms[vm]->m_callers[id] = [this, digest, object,
                               retries](CrashWorldEnd end) {
     if (end != CrashWorldEnd::kAnswered && retries > 0) {
       m_queue.After(kTimeToCrash, [this, digest, object, retries] {
-        AskSoundOnce(digest, object, retries - 1);
+        SendNormalAttempt(digest, object, retries - 1);
       });
       return;
     }
-    m_sound.m_answered += end == CrashWorldEnd::kAnswered ? 1 : 0;
-    m_sound.m_refused += end == CrashWorldEnd::kRefused ? 1 : 0;
-    m_sound.m_failed += end == CrashWorldEnd::kFailed ? 1 : 0;
+    m_normal.m_answered += end == CrashWorldEnd::kAnswered ? 1 : 0;
+    m_normal.m_refused += end == CrashWorldEnd::kRefused ? 1 : 0;
+    m_normal.m_failed += end == CrashWorldEnd::kFailed ? 1 : 0;
   };
-  Ask(vm, digest, object);
+  SendRequest(vm, digest, object);
 }
 
 void CrashWorld::Take(size_t vm, const SteerAction& action) {
@@ -196,12 +198,12 @@
     Check(vm, *check);
   } else if (const auto* suspected = std::get_if<RequestSuspected>(&action)) {
     ++m_suspected;
-    Tell(vm, suspected->m_report.m_fact, true);
+    PublishCrash(vm, suspected->m_report.m_record, true);
   } else if (std::holds_alternative<RequestHeld>(action)) {
     ++m_held_back;
   } else if (const auto* forgotten = std::get_if<CrashesForgotten>(&action)) {
-    for (const CrashFact& fact : forgotten->m_facts) {
-      Tell(vm, fact, false);
+    for (const CrashRecord& record : forgotten->m_facts) {
+      PublishCrash(vm, record, false);
     }
   }
 }
@@ -211,30 +213,35 @@
     const bool is_up = std::any_of(
         m_servers.begin(), m_servers.end(),
         [&](const auto& one) { return one->m_instance == instance; });
-    m_vms[vm]->m_steering->ServerChecked(
-        instance, is_up ? ServerReach::kOpens : ServerReach::kRefuses,
-        m_queue.Now());
+    m_vms[vm]->m_steering->ServerChecked(instance,
+                                         is_up
+                                             ? ServerReach::kAcceptsConnections
+                                             : ServerReach::kRefusesConnections,
+                                         m_queue.Now());
   });
 }
 
-void CrashWorld::Tell(size_t vm, const CrashFact& fact, bool counts) {
+void CrashWorld::PublishCrash(size_t vm,
+                              const CrashRecord& record,
+                              bool counts) {
   if (m_vms[vm]->m_is_cut_off) {
     return;
   }
-  m_queue.After(m_news, [this, fact, counts] {
+  m_queue.After(m_propagation_delay, [this, record, counts] {
     if (counts) {
-      m_store.insert(fact);
+      m_store.insert(record);
     } else {
-      m_store.erase(fact);
+      m_store.erase(record);
     }
     for (const auto& other : m_vms) {
       if (other->m_is_cut_off) {
         continue;
       }
       if (counts) {
-        other->m_steering->TakeCrash(fact, m_news, m_queue.Now());
+        other->m_steering->TakeCrash(record, m_propagation_delay,
+                                     m_queue.Now());
       } else {
-        other->m_steering->DropCrash(fact, m_queue.Now());
+        other->m_steering->DropCrash(record, m_queue.Now());
       }
     }
   });
@@ -252,10 +259,10 @@
 }
 
 void CrashWorld::Send(size_t vm, const SendToServer& action) {
-  m_queue.After(kLink, [this, vm, action] { Reach(vm, action); });
+  m_queue.After(kLink, [this, vm, action] { Deliver(vm, action); });
 }
 
-void CrashWorld::Reach(size_t vm, const SendToServer& action) {
+void CrashWorld::Deliver(size_t vm, const SendToServer& action) {
   const auto digest = m_vms[vm]->m_digests.find(action.m_request);
   if (digest == m_vms[vm]->m_digests.end()) {
     return;
@@ -271,7 +278,7 @@
   }
   Server& server = **found;
   if (Crashes(work.m_digest)) {
-    m_crashing[work.m_digest].m_reached.push_back(m_queue.Now());
+    m_crashing[work.m_digest].m_arrival_times.push_back(m_queue.Now());
   }
   if (server.m_work.size() >= kSlots + kQueueLength) {
     Reply(work, AttemptEnd::kRejected);
@@ -295,11 +302,11 @@
     ++running;
     const Duration time = Crashes(work.m_digest) ? kTimeToCrash : kWork;
     m_queue.After(time,
-                  [this, &server, id = work.m_id] { EndOfRun(server, id); });
+                  [this, &server, id = work.m_id] { FinishWork(server, id); });
   }
 }
 
-void CrashWorld::EndOfRun(Server& server, uint64_t id) {
+void CrashWorld::FinishWork(Server& server, uint64_t id) {
   const auto it =
       std::find_if(server.m_work.begin(), server.m_work.end(),
                    [id](const Work& work) { return work.m_id == id; });
@@ -308,7 +315,7 @@
   }
   const Work work = *it;
   if (Crashes(work.m_digest)) {
-    m_crashing[work.m_digest].m_ended.push_back(m_queue.Now());
+    m_crashing[work.m_digest].m_crash_times.push_back(m_queue.Now());
     Crash(server.m_number);
     return;
   }
@@ -354,7 +361,7 @@
   LoseAll(server);
   const std::string instance = std::exchange(server.m_instance, "");
   m_queue.After(kDownTime, [this, &server] { StartServer(server); });
-  m_queue.After(kEntryLapses, [this, instance] {
+  m_queue.After(kEntryLapseTime, [this, instance] {
     for (const auto& vm : m_vms) {
       vm->m_steering->RemoveServer(instance, m_queue.Now());
     }
@@ -370,7 +377,7 @@
   const bool is_first = server.m_runs == 1;
   const ServerEntry entry =
       EntryOf(server, is_first ? Duration{} : Duration{seconds(3)});
-  m_queue.After(is_first ? Duration{} : m_news, [this, entry] {
+  m_queue.After(is_first ? Duration{} : m_propagation_delay, [this, entry] {
     for (const auto& vm : m_vms) {
       vm->m_steering->PutServer(entry, m_queue.Now());
     }
@@ -385,20 +392,20 @@
       cold_left};
 }
 
-size_t CrashWorld::EndedUnder(const RequestDigest& digest) const {
-  return m_crashing.at(digest).m_ended.size();
+size_t CrashWorld::CrashedRuns(const RequestDigest& digest) const {
+  return m_crashing.at(digest).m_crash_times.size();
 }
 
-size_t CrashWorld::ReachedAfterThirdEnd(const RequestDigest& digest,
-                                        Duration later_than) const {
+size_t CrashWorld::ArrivalsAfterThirdCrash(const RequestDigest& digest,
+                                           Duration later_than) const {
   const History& history = m_crashing.at(digest);
-  if (history.m_ended.size() < 3) {
+  if (history.m_crash_times.size() < 3) {
     return 0;
   }
-  const TimePoint since = history.m_ended[2] + later_than;
-  return static_cast<size_t>(
-      std::count_if(history.m_reached.begin(), history.m_reached.end(),
-                    [since](TimePoint time) { return time > since; }));
+  const TimePoint since = history.m_crash_times[2] + later_than;
+  return static_cast<size_t>(std::count_if(
+      history.m_arrival_times.begin(), history.m_arrival_times.end(),
+      [since](TimePoint time) { return time > since; }));
 }
 
 }  // namespace sorrelplank
--- a/tests/domain_breaker_test.cc
+++ b/tests/domain_breaker_test.cc
@@ -1,4 +1,4 @@
-/// @file domain_breaker_test.cc When a failure domain counts as out of reach.
+/// @file domain_breaker_test.cc Circuit breaker of a failure domain.
 
 #include "steer/domain_breaker.h"
 
@@ -12,16 +12,16 @@
 namespace sorrelplank {
 namespace {
 
-/// A breaker that four unreached servers have opened.
+/// A breaker opened by four unreachable servers.
 struct BreakerFixture {
   TimePoint m_now{seconds(100)};
   DomainBreaker m_breaker;
 
-  BreakerFixture() { CountUnreached(4); }
+  BreakerFixture() { CountConnectFailure(4); }
 
-  void CountUnreached(int servers) {
+  void CountConnectFailure(int servers) {
     for (int server = 0; server < servers; ++server) {
-      m_breaker.CountUnreached(std::to_string(server), m_now);
+      m_breaker.CountConnectFailure(std::to_string(server), m_now);
     }
   }
 };
@@ -42,44 +42,44 @@
   cr_assert(g_fixture->m_breaker.IsOpen(g_fixture->m_now));
 }
 
-// One server is down and is met again and again.
+// One server is down and is tried again and again.
 Test(DomainBreaker, SameServerUnreached_ManyTimes_StaysClosed) {
   DomainBreaker breaker;
   for (int count = 0; count < 20; ++count) {
-    breaker.CountUnreached("a", g_fixture->m_now);
+    breaker.CountConnectFailure("a", g_fixture->m_now);
   }
   cr_assert_not(breaker.IsOpen(g_fixture->m_now));
 }
 
-// Part of a domain's servers crashed; others answer in between.
+// Some of a domain's servers crashed; others respond in between.
 Test(DomainBreaker, SomeReached_InBetween_StaysClosed) {
   DomainBreaker breaker;
   for (int server = 0; server < 20; ++server) {
-    breaker.CountUnreached(std::to_string(server), g_fixture->m_now);
+    breaker.CountConnectFailure(std::to_string(server), g_fixture->m_now);
     if (server % 3 == 2) {
-      breaker.CountReached();
+      breaker.CountConnectSuccess();
     }
   }
   cr_assert_not(breaker.IsOpen(g_fixture->m_now));
 }
 
-// The domain is still down after a while. One request finds that out; those
-// that arrive before its connection fails are kept away.
-Test(DomainBreaker, IntervalOver_FirstRequest_IsTheOnlyTrial) {
+// The domain is still down after the probe interval. One request probes it;
+// those that arrive before its connection fails are not sent there.
+Test(DomainBreaker, ProbeIntervalOver_FirstRequest_IsTheOnlyProbe) {
   g_fixture->m_now += milliseconds(500);
   cr_assert_not(g_fixture->m_breaker.IsOpen(g_fixture->m_now));
   g_fixture->m_breaker.CountSend(g_fixture->m_now);
   cr_assert(g_fixture->m_breaker.IsOpen(g_fixture->m_now));
 }
 
-Test(DomainBreaker, Trial_IsAnswered_Closes) {
-  cr_assert(g_fixture->m_breaker.CountReached());
+Test(DomainBreaker, Probe_Succeeds_Closes) {
+  cr_assert(g_fixture->m_breaker.CountConnectSuccess());
   cr_assert_not(g_fixture->m_breaker.IsOpen(g_fixture->m_now));
 }
 
-// The only region's domain and its neighbour refuse all connections; the other
-// region has a server. After the first few, requests go there without a try at
-// home, and are answered.
+// All servers of the own region refuse connections; the other region has a
+// server. After the first few requests, the others go there without trying the
+// own region first, and are answered.
 Test(DomainBreaker, OwnRegionDown_RequestsArrive_GoToTheOtherRegion) {
   SteeringFixture fixture;
   fixture.m_steering.RemoveServer("a", fixture.m_now);
--- a/tests/front_test.cc
+++ b/tests/front_test.cc
@@ -71,7 +71,7 @@
                         .m_idempotent = true,
                         .m_timeout = seconds(20),
                         .m_target_latency = seconds(1),
-                        .m_most_sends = 1,
+                        .m_max_sends = 1,
                         .m_home_regions = {},
                         .m_shares = {{"s", 1}}}};
     table->m_services["s"] = {.m_name = "s"};
--- a/tests/held_command_test.cc
+++ b/tests/held_command_test.cc
@@ -33,7 +33,7 @@
     m_thread.join();
   }
 
-  void Put(const CrashFact& fact) {
+  void Put(const CrashRecord& fact) {
     m_store.PutText(CrashKey(fact),
                     EncodeCrash({{fact, "reads", "h.example", "/read/7"},
                                  "vm-1",
--- a/tests/organisation_test.cc
+++ b/tests/organisation_test.cc
@@ -1,4 +1,4 @@
-/// @file organisation_test.cc Who asks, and what that decides.
+/// @file organisation_test.cc Requests of organisations and their keys.
 
 #include <criterion/criterion.h>
 
@@ -10,7 +10,7 @@
 namespace sorrelplank {
 namespace {
 
-/// Two organisations with a key each, and a route that needs none.
+/// Two organisations with one key each, and a route that needs no key.
 struct OrganisationFixture : SteeringFixture {
   OrganisationFixture() { InstallOrganisations(2, {Acme(), Byte()}); }
 
@@ -26,7 +26,8 @@
             std::move(organisations));
   }
 
-  /// Takes all slots, and one request more at each server.
+  /// Fills all slots, plus one extra request per server, until a request waits
+  /// or is refused.
   void FillServers() {
     while (Count<RefuseRequest>() == 0 && m_steering.WaitingCount() == 0) {
       ArriveWithKey("/read/x", "k-acme", m_next);
@@ -68,8 +69,8 @@
   cr_assert_str_empty(g_fixture->Last<SendToServer>()->m_organisation.c_str());
 }
 
-// The key belongs to no organisation on a public route: whoever asks there is
-// told apart by nothing that we have checked.
+// Keys are not checked on a public route, so they identify no organisation
+// there and must not be forwarded.
 Test(Organisations, PublicRoute_RequestWithKey_HidesTheKey) {
   g_fixture->ArriveWithKey("/open/x", "k-acme");
   cr_assert(g_fixture->Last<SendToServer>()->m_keeps_key);
@@ -82,9 +83,9 @@
   cr_assert_not(g_fixture->Last<SendToServer>()->m_keeps_key);
 }
 
-// A VM that the store turned away has not heard of a new key. 401 would end the
-// caller's tries, though the VM beside it knows the key.
-Test(Organisations, CutOffFromStore_UnknownKey_IsToldToComeBack) {
+// A VM that is cut off from the store does not know a new key. 401 would stop
+// the caller's retries, although other VMs know the key.
+Test(Organisations, CutOffFromStore_UnknownKey_IsRefusedAsRetriable) {
   g_fixture->m_steering.SetCutOff(true);
   g_fixture->ArriveWithKey("/read/x", "k-new");
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kTableMayBeOld);
@@ -93,9 +94,9 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kUnknownKey);
 }
 
-// A request waits for a slot, and meanwhile its key is taken away. Served from
-// the line, it would run under a key that is not valid any more.
-Test(Organisations, KeyTakenAway_WaitingRequest_IsRefused) {
+// A request waits for a slot and meanwhile its key is revoked. Served from the
+// queue, it would run with a key that is no longer valid.
+Test(Organisations, KeyRevoked_WaitingRequest_IsRefused) {
   g_fixture->FillServers();
   cr_assert_eq(g_fixture->m_steering.WaitingCount(), 1);
   g_fixture->InstallOrganisations(3, {OrganisationFixture::Byte()});
@@ -103,15 +104,15 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kUnknownKey);
 }
 
-Test(Organisations, KeyTakenAway_NextRequestOfTheConnection_Is401) {
+Test(Organisations, KeyRevoked_NextRequestOfTheConnection_Is401) {
   g_fixture->ArriveWithKey("/read/x", "k-acme");
   g_fixture->InstallOrganisations(3, {OrganisationFixture::Byte()});
   g_fixture->ArriveWithKey("/read/x", "k-acme");
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kUnknownKey);
 }
 
-// Both servers stand in region r1; the organisation may only run in r2.
-Test(Organisations, HomeWithoutServers_Request_IsRefusedAtOnce) {
+// Both servers are in region r1; the organisation may only run in r2.
+Test(Organisations, HomeRegionWithoutServers_Request_IsRefusedAtOnce) {
   Organisation abroad = OrganisationFixture::Acme();
   abroad.m_home_regions = {"r2"};
   g_fixture->InstallOrganisations(3, {abroad, OrganisationFixture::Byte()});
@@ -121,8 +122,9 @@
   cr_assert_eq(g_fixture->Count<SendToServer>(), 1);
 }
 
-// Requests of all organisations go home to r2, whatever their objects.
-Test(Organisations, HomeElsewhere_Requests_AllGoHome) {
+// Requests of the organisation go to its home region r2, whatever their
+// objects.
+Test(Organisations, OtherHomeRegion_Requests_AllGoThere) {
   g_fixture->PutServer("far", "d3");
   g_fixture->Pass(seconds(3));
   Organisation abroad = OrganisationFixture::Acme();
@@ -136,7 +138,8 @@
   }
 }
 
-Test(Organisations, RouteAndOrganisationWithOtherHomes_Request_RunsNowhere) {
+Test(Organisations,
+     RouteAndOrganisationWithDisjointHomeRegions_Request_IsRefused) {
   g_fixture->PutServer("far", "d3");
   g_fixture->Pass(seconds(3));
   RouteRule route = MakeRoute("/read/", true);
@@ -148,9 +151,9 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kNoServer);
 }
 
-// The homes of an organisation change while one of its requests waits. Served
-// from the line it was in, it would run in a region that it may not run in.
-Test(Organisations, HomesChange_WaitingRequest_LeavesItsLine) {
+// The home regions of an organisation change while one of its requests waits.
+// Served from its queue, it would run in a region that is not allowed.
+Test(Organisations, HomeRegionsChange_WaitingRequest_LeavesItsQueue) {
   g_fixture->FillServers();
   Organisation abroad = OrganisationFixture::Acme();
   abroad.m_home_regions = {"r2"};
@@ -159,8 +162,8 @@
   cr_assert_eq(g_fixture->LastReason(), SteerRefusal::kNoServer);
 }
 
-// The servers are full. Of the waiting requests the one of the organisation
-// with the more urgent priority goes first, though its route is less urgent.
+// The servers are full. Of the waiting requests, that of the organisation with
+// the more urgent priority goes first, although its route is less urgent.
 Test(Organisations, SeveralWait_SlotComesFree_MoreUrgentOrganisationGoesFirst) {
   Organisation urgent = OrganisationFixture::Byte();
   urgent.m_priority = 0;
@@ -194,8 +197,8 @@
   }
 }
 
-// Sent twice, the field arrives as one text; no organisation has that key.
-Test(CallerKey, CredentialsSentTwice_NameNeitherKey) {
+// A field sent twice arrives as one value; no organisation has that key.
+Test(CallerKey, CredentialsSentTwice_GiveNeitherKey) {
   cr_assert_eq(ParseBearerKey("Bearer k1, Bearer k2"), "k1, Bearer k2");
 }
 
--- a/tests/quota_gate_test.cc
+++ b/tests/quota_gate_test.cc
@@ -1,4 +1,4 @@
-/// @file quota_gate_test.cc Tokens of one entry VM, and their keepers.
+/// @file quota_gate_test.cc Quota tokens of one entry VM and their keepers.
 
 #include "steer/quota_gate.h"
 
@@ -9,7 +9,7 @@
 
 #include "proxy/quota_exchange.h"
 #include "steer/quota_keeper.h"
-#include "steer/quota_part_func.h"
+#include "steer/quota_share_func.h"
 #include "tests/steering_fixture.h"
 
 namespace sorrelplank {
@@ -32,11 +32,11 @@
                           TermsOf(m_organisation), m_now);
   }
 
-  /// Answers the only question.
-  std::vector<QuotaOutcome> Answer(const QuotaQuestion& question,
+  /// Responds to a quota request with a grant of so many tokens.
+  std::vector<QuotaOutcome> Answer(const AddressedQuotaRequest& addressed,
                                    uint32_t tokens) {
-    return m_gate.TakeGrant({.m_subject = question.m_ask.m_subject,
-                             .m_number = question.m_ask.m_number,
+    return m_gate.TakeGrant({.m_subject = addressed.m_quota_request.m_subject,
+                             .m_number = addressed.m_quota_request.m_number,
                              .m_tokens = tokens,
                              .m_is_keeper = true,
                              .m_wait = milliseconds(400)},
@@ -63,161 +63,164 @@
 
 Test(QuotaGate, FirstRequest_NoToken_AsksKeeperOfOwnRegion) {
   cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kWait);
-  const auto questions = g_fixture->m_gate.TakeQuestions();
-  cr_assert_eq(questions.size(), 1);
-  cr_assert_str_eq(questions[0].m_keeper.c_str(), "vm-1");
-  const auto outcomes = g_fixture->Answer(questions[0], 1);
+  const auto requests = g_fixture->m_gate.TakeQuotaRequests();
+  cr_assert_eq(requests.size(), 1);
+  cr_assert_str_eq(requests[0].m_keeper.c_str(), "vm-1");
+  const auto outcomes = g_fixture->Answer(requests[0], 1);
   cr_assert_eq(outcomes.size(), 1);
   cr_assert_eq(outcomes[0].m_verdict, QuotaVerdict::kPass);
 }
 
-Test(QuotaGate, SeveralWait_OneAnswer_ServesAllInTurn) {
+Test(QuotaGate, SeveralWait_Grants_ServeAllInOrder) {
   g_fixture->Arrive();
-  const auto first = g_fixture->m_gate.TakeQuestions();
+  const auto first = g_fixture->m_gate.TakeQuotaRequests();
   g_fixture->Arrive();
   g_fixture->Arrive();
-  cr_assert(g_fixture->m_gate.TakeQuestions().empty());
+  cr_assert(g_fixture->m_gate.TakeQuotaRequests().empty());
   const auto served = g_fixture->Answer(first[0], 1);
   cr_assert_eq(served.size(), 1);
-  const auto second = g_fixture->m_gate.TakeQuestions();
-  cr_assert_eq(second[0].m_ask.m_tokens, 2);
+  const auto second = g_fixture->m_gate.TakeQuotaRequests();
+  cr_assert_eq(second[0].m_quota_request.m_tokens, 2);
   const auto outcomes = g_fixture->Answer(second[0], 2);
   cr_assert_eq(outcomes.size(), 2);
   cr_assert_eq(outcomes[0].m_request, RequestId(2));
 }
 
-// The own region's keeper has nothing left while another one's has: clients
-// stand in one region. Refused here, they would be below the limit.
-Test(QuotaGate, OwnKeeperEmpty_OtherRegions_AreAsked) {
+// All clients are in one region: its keeper has no tokens left while that of
+// another region has. Requests refused here would be below the limit.
+Test(QuotaGate, OwnKeeperEmpty_OtherRegionsKeeper_IsAsked) {
   g_fixture->Arrive();
-  g_fixture->Answer(g_fixture->m_gate.TakeQuestions()[0], 0);
-  const auto questions = g_fixture->m_gate.TakeQuestions();
-  cr_assert_str_eq(questions[0].m_keeper.c_str(), "vm-2");
-  cr_assert_eq(g_fixture->Answer(questions[0], 1)[0].m_verdict,
+  g_fixture->Answer(g_fixture->m_gate.TakeQuotaRequests()[0], 0);
+  const auto requests = g_fixture->m_gate.TakeQuotaRequests();
+  cr_assert_str_eq(requests[0].m_keeper.c_str(), "vm-2");
+  cr_assert_eq(g_fixture->Answer(requests[0], 1)[0].m_verdict,
                QuotaVerdict::kPass);
 }
 
-// All are empty. The request is refused at once, and so is the next one,
-// without asking: an organisation far over its limit would busy the keepers.
+// All keepers are empty. The request is refused at once, and the next one
+// without a quota request: an organisation far over its limit would overload
+// the keepers.
 Test(QuotaGate, AllKeepersEmpty_Requests_AreRefusedAtOnce) {
   g_fixture->Arrive();
-  g_fixture->Answer(g_fixture->m_gate.TakeQuestions()[0], 0);
+  g_fixture->Answer(g_fixture->m_gate.TakeQuotaRequests()[0], 0);
   const auto outcomes =
-      g_fixture->Answer(g_fixture->m_gate.TakeQuestions()[0], 0);
-  cr_assert_eq(outcomes[0].m_verdict, QuotaVerdict::kOver);
-  cr_assert_eq(g_fixture->m_gate.ComeBackAfter(HashOrganisation("acme")),
+      g_fixture->Answer(g_fixture->m_gate.TakeQuotaRequests()[0], 0);
+  cr_assert_eq(outcomes[0].m_verdict, QuotaVerdict::kExhausted);
+  cr_assert_eq(g_fixture->m_gate.RetryAfter(HashOrganisation("acme")),
                Duration(milliseconds(400)));
-  cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kOver);
-  cr_assert(g_fixture->m_gate.TakeQuestions().empty());
+  cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kExhausted);
+  cr_assert(g_fixture->m_gate.TakeQuotaRequests().empty());
   g_fixture->Pass(milliseconds(120));
   cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kWait);
 }
 
-// The keeper was killed. Its silence must not hold requests until they time
-// out.
-Test(QuotaGate, KeeperSilent_Request_GoesToTheNext) {
+// The keeper was killed. Requests must not wait for it until they time out.
+Test(QuotaGate, KeeperDoesNotRespond_NextKeeper_IsAsked) {
   g_fixture->Arrive();
-  g_fixture->m_gate.TakeQuestions();
+  g_fixture->m_gate.TakeQuotaRequests();
   cr_assert(g_fixture->Pass(milliseconds(160)).empty());
-  const auto questions = g_fixture->m_gate.TakeQuestions();
-  cr_assert_str_eq(questions[0].m_keeper.c_str(), "vm-2");
-  g_fixture->Answer(questions[0], 1);
+  const auto requests = g_fixture->m_gate.TakeQuotaRequests();
+  cr_assert_str_eq(requests[0].m_keeper.c_str(), "vm-2");
+  g_fixture->Answer(requests[0], 1);
   g_fixture->Arrive();
-  cr_assert_str_eq(g_fixture->m_gate.TakeQuestions()[0].m_keeper.c_str(),
+  cr_assert_str_eq(g_fixture->m_gate.TakeQuotaRequests()[0].m_keeper.c_str(),
                    "vm-2");
 }
 
-// Cut off from all keepers. Only the first requests wait for what may come.
-Test(QuotaGate, AllSilent_Requests_AreNotHeld) {
+// The VM is cut off from all keepers. Only the first requests wait for a grant.
+Test(QuotaGate, NoKeeperResponds_Requests_DoNotWait) {
   g_fixture->Arrive();
-  g_fixture->m_gate.TakeQuestions();
+  g_fixture->m_gate.TakeQuotaRequests();
   g_fixture->Pass(milliseconds(160));
-  g_fixture->m_gate.TakeQuestions();
+  g_fixture->m_gate.TakeQuotaRequests();
   const auto outcomes = g_fixture->Pass(milliseconds(160));
-  cr_assert_eq(outcomes[0].m_verdict, QuotaVerdict::kOutOfReach);
+  cr_assert_eq(outcomes[0].m_verdict, QuotaVerdict::kKeepersUnreachable);
   g_fixture->Pass(seconds(2));
-  cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kOutOfReach);
+  cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kKeepersUnreachable);
 }
 
-// Used in a later window, a token would count there beside that window's own.
+// Used in a later window, a token would add to that window's own tokens.
 Test(QuotaGate, TokenUnused_ForASecond_IsDropped) {
   g_fixture->Arrive();
-  g_fixture->Answer(g_fixture->m_gate.TakeQuestions()[0], 3);
+  g_fixture->Answer(g_fixture->m_gate.TakeQuotaRequests()[0], 3);
   cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kPass);
   g_fixture->Pass(seconds(1));
   cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kWait);
 }
 
-Test(QuotaGate, RequestLeft_Token_GoesToTheNext) {
+Test(QuotaGate, WaitCancelled_Token_GoesToTheNextRequest) {
   g_fixture->Arrive();
-  const auto questions = g_fixture->m_gate.TakeQuestions();
-  g_fixture->m_gate.Left(RequestId(1), HashOrganisation("acme"));
-  cr_assert(g_fixture->Answer(questions[0], 1).empty());
+  const auto requests = g_fixture->m_gate.TakeQuotaRequests();
+  g_fixture->m_gate.CancelWait(RequestId(1), HashOrganisation("acme"));
+  cr_assert(g_fixture->Answer(requests[0], 1).empty());
   cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kPass);
 }
 
-Test(QuotaGate, RequestDidNotRun_Token_ServesAnother) {
+Test(QuotaGate, TokenReturned_NextRequest_TakesIt) {
   g_fixture->Arrive();
-  g_fixture->Answer(g_fixture->m_gate.TakeQuestions()[0], 1);
+  g_fixture->Answer(g_fixture->m_gate.TakeQuotaRequests()[0], 1);
   g_fixture->m_gate.Return(HashOrganisation("acme"), g_fixture->m_now);
   cr_assert_eq(g_fixture->Arrive(), QuotaVerdict::kPass);
 }
 
-Test(QuotaPart, AllKeepersAndAllOutOfReach_Sum_StaysWithinTheBound) {
+Test(QuotaShare, AllKeepersAndAllFallbacks_Sum_StaysWithinTheBound) {
   const QuotaBounds bounds{
       .m_window = seconds(5), .m_excess = 0.1, .m_slack = 20};
   for (const double rate : {1.0, 40.0, 1000.0}) {
     Organisation organisation = MakeOrganisation("acme", "k");
     organisation.m_rate_per_second = rate;
     organisation.m_burst = rate;
-    const QuotaPart keeper = PartOfKeeper(TermsOf(organisation), bounds, 3);
-    const QuotaPart alone = PartOutOfReach(TermsOf(organisation), bounds, 100);
+    const QuotaShare keeper = KeeperShare(TermsOf(organisation), bounds, 3);
+    const QuotaShare fallback =
+        FallbackShare(TermsOf(organisation), bounds, 100);
     const double most =
-        3 * (keeper.m_rate * 5 + keeper.m_capacity) + 100 * alone.m_rate * 5;
+        3 * (keeper.m_rate * 5 + keeper.m_capacity) + 100 * fallback.m_rate * 5;
     cr_assert_leq(most, (rate * 5 + rate) * 1.1 + 20, "rate %g", rate);
   }
 }
 
-// The limit is lowered far below what the bucket holds.
+// The limit is lowered far below the number of tokens in the bucket.
 Test(QuotaKeeper, LimitLowered_Tokens_AreDropped) {
   QuotaKeeper keeper;
   keeper.SetBounds({.m_window = seconds(5), .m_excess = 0, .m_slack = 0});
   Organisation organisation = MakeOrganisation("acme", "k");
   organisation.m_rate_per_second = 100;
   organisation.m_burst = 100;
-  const QuotaAsk one{.m_subject = HashOrganisation("acme"), .m_tokens = 1};
+  const QuotaRequest one{.m_subject = HashOrganisation("acme"), .m_tokens = 1};
   TimePoint now(seconds(100));
   keeper.FleetChanged(now);
   keeper.Grant(one, TermsOf(organisation), 1, now);
   now += seconds(10);
   organisation.m_rate_per_second = 2;
   organisation.m_burst = 2;
-  QuotaAsk many = one;
+  QuotaRequest many = one;
   many.m_tokens = 50;
   cr_assert_eq(keeper.Grant(many, TermsOf(organisation), 1, now).m_tokens, 2);
 }
 
-// Nobody asked for an organisation for long. Its burst is there at once.
-Test(QuotaKeeper, FirstAskLongAfterStart_Burst_IsThere) {
+// The first request for an organisation comes long after the start. Its burst
+// is available at once.
+Test(QuotaKeeper, FirstQuotaRequestLongAfterStart_Burst_IsAvailable) {
   QuotaKeeper keeper;
   Organisation organisation = MakeOrganisation("acme", "k");
   organisation.m_rate_per_second = 10;
   organisation.m_burst = 10;
   const TimePoint now(seconds(100));
   keeper.FleetChanged(now);
-  const QuotaAsk ask{.m_subject = HashOrganisation("acme"), .m_tokens = 8};
+  const QuotaRequest ask{.m_subject = HashOrganisation("acme"), .m_tokens = 8};
   cr_assert_eq(
       keeper.Grant(ask, TermsOf(organisation), 1, now + seconds(5)).m_tokens,
       8);
 }
 
 Test(QuotaMessages, Encoded_Decoded_AreTheSame) {
-  const std::string ask = EncodeQuotaMessage(QuotaAsk{
+  const std::string ask = EncodeQuotaMessage(QuotaRequest{
       .m_subject = HashOrganisation("acme"), .m_number = 7, .m_tokens = 3});
   const auto read = DecodeQuotaMessage(ask.data(), ask.size());
-  cr_assert_eq(std::get<QuotaAsk>(*read).m_subject, HashOrganisation("acme"));
-  cr_assert_eq(std::get<QuotaAsk>(*read).m_number, 7);
-  cr_assert_eq(std::get<QuotaAsk>(*read).m_tokens, 3);
+  cr_assert_eq(std::get<QuotaRequest>(*read).m_subject,
+               HashOrganisation("acme"));
+  cr_assert_eq(std::get<QuotaRequest>(*read).m_number, 7);
+  cr_assert_eq(std::get<QuotaRequest>(*read).m_tokens, 3);
   const std::string grant =
       EncodeQuotaMessage(QuotaGrant{.m_subject = HashOrganisation("acme"),
                                     .m_number = 7,
@@ -232,15 +235,15 @@
 }
 
 // Anybody can send a datagram to the port.
-Test(QuotaMessages, Malformed_Decoded_IsNothing) {
+Test(QuotaMessages, Malformed_Decoded_IsRejected) {
   cr_assert_not(DecodeQuotaMessage("", 0).has_value());
   cr_assert_not(DecodeQuotaMessage("\xff\xff\xff", 3).has_value());
   const std::string greedy =
-      EncodeQuotaMessage(QuotaAsk{.m_tokens = 4'000'000'000U});
+      EncodeQuotaMessage(QuotaRequest{.m_tokens = 4'000'000'000U});
   cr_assert_not(DecodeQuotaMessage(greedy.data(), greedy.size()).has_value());
 }
 
-/// One VM that keeps its organisations' quotas itself.
+/// A single VM, which is the keeper of its organisations' quotas.
 struct LimitFixture : SteeringFixture {
   LimitFixture() { SetLimit(2, 10); }
 
@@ -251,7 +254,7 @@
     Install(version, {MakeRoute("/read/", true)}, {{organisation}});
   }
 
-  /// Sends this many requests in a moment, each answered at once.
+  /// Sends this many requests at the same time, each answered at once.
   void SendMany(int count) {
     for (int number = 0; number < count; ++number) {
       const size_t before = Count<SendToServer>();
@@ -263,8 +266,8 @@
   }
 };
 
-// The regions r1 and r2 keep half of the limit each, and r2 has no VM.
-Test(Quotas, MoreThanTheBurst_Requests_Are429WithATimeToComeBack) {
+// The regions r1 and r2 have half of the limit each, and r2 has no VM.
+Test(Quotas, MoreThanTheBurst_Requests_Are429WithRetryAfter) {
   LimitFixture fixture;
   fixture.Pass(seconds(5));
   fixture.SendMany(20);
@@ -273,8 +276,8 @@
   cr_assert_gt(fixture.Last<RefuseRequest>()->m_retry_after.count(), 0);
 }
 
-// All servers are full and the request is refused. It did not run, and must not
-// count towards the limit.
+// Requests are refused for lack of servers. They did not run and must not count
+// towards the limit.
 Test(Quotas, RefusedForLackOfServers_Token_IsReturned) {
   LimitFixture fixture;
   fixture.Pass(seconds(5));
@@ -295,9 +298,8 @@
   cr_assert_eq(fixture.Count<SendToServer>(), 50);
 }
 
-// A request is held for the keeper's answer, and meanwhile its key is taken
-// away.
-Test(Quotas, KeyTakenAway_RequestHeldForAToken_Is401) {
+// A request waits for the keeper's grant and meanwhile its key is revoked.
+Test(Quotas, KeyRevoked_RequestWaitingForAToken_Is401) {
   LimitFixture fixture;
   fixture.m_steering.SetFleet({{"vm-9", "10.0.0.9:80", "d1", "r1"}},
                               fixture.m_now);
@@ -309,15 +311,16 @@
   cr_assert_eq(fixture.LastReason(), SteerRefusal::kUnknownKey);
 }
 
-// The keeper is another VM, and the client leaves before it answers.
-Test(Quotas, ClientLeaves_RequestHeldForAToken_IsForgotten) {
+// The keeper is another VM, and the client disconnects before it responds.
+Test(Quotas, ClientLeaves_RequestWaitingForAToken_IsDropped) {
   LimitFixture fixture;
   fixture.m_steering.SetFleet({{"vm-9", "10.0.0.9:80", "d1", "r1"}},
                               fixture.m_now);
   const RequestId id = fixture.ArriveWithKey("/read/x", "k");
   fixture.m_steering.ClientLeft(id, fixture.m_now);
   cr_assert_eq(fixture.m_steering.AwaitingTokens(), 0);
-  const QuotaAsk ask = fixture.Last<AskForTokens>()->m_question.m_ask;
+  const QuotaRequest ask =
+      fixture.Last<AskForTokens>()->m_question.m_quota_request;
   fixture.m_steering.TakeQuotaGrant({.m_subject = ask.m_subject,
                                      .m_number = ask.m_number,
                                      .m_tokens = 1,
@@ -326,11 +329,11 @@
   cr_assert_eq(fixture.Count<SendToServer>(), 0);
 }
 
-// This VM is no keeper by its fleet; what it granted would be beside the
+// By its fleet this VM is not the keeper; its grants would add to those of the
 // keeper.
-Test(Quotas, NotTheKeeper_Ask_IsGrantedNothing) {
+Test(Quotas, NotTheKeeper_QuotaRequest_IsGrantedNothing) {
   LimitFixture fixture;
-  const QuotaAsk ask{.m_subject = HashOrganisation("acme"), .m_tokens = 1};
+  const QuotaRequest ask{.m_subject = HashOrganisation("acme"), .m_tokens = 1};
   cr_assert(fixture.m_steering.AnswerQuotaAsk(ask, fixture.m_now).m_is_keeper);
   fixture.m_steering.SetFleet({{"vm-9", "10.0.0.9:80", "d1", "r1"}},
                               fixture.m_now);
--- a/tests/quota_world_test.cc
+++ b/tests/quota_world_test.cc
@@ -1,4 +1,4 @@
-/// @file quota_world_test.cc Limits of organisations over many entry VMs.
+/// @file quota_world_test.cc Quotas of organisations over many entry VMs.
 
 #include <criterion/criterion.h>
 
@@ -12,14 +12,15 @@
 namespace sorrelplank::trial {
 namespace {
 
-/// Limit 40 and as much burst; usual requests take five eighths of it.
+/// Limit in requests per second, with an equal burst; normal load is five
+/// eighths of it.
 constexpr double kRate = 40;
-constexpr double kUsual = 25;
-/// An organisation that presses sends this many times its usual.
-constexpr double kPressing = 7.5;
-/// Parts of what is owed that may be refused.
-constexpr double kMostRefusedWhenCalm = 0.01;
-constexpr double kMostRefusedWhenPressed = 0.03;
+constexpr double kNormalRate = 25;
+/// An overloading organisation sends this many times its normal load.
+constexpr double kOverloadFactor = 7.5;
+/// Fractions of the requests within the limit that may be refused.
+constexpr double kMaxRefusedWhenCalm = 0.01;
+constexpr double kMaxRefusedUnderOverload = 0.03;
 
 Organisation MakeOrganisation(const std::string& name, double rate) {
   return {.m_name = name,
@@ -36,18 +37,18 @@
 
 TestSuite(QuotaWorld, .timeout = 240);
 
-// A calm day: nobody presses, and every request must pass.
-Test(QuotaWorld, UsualRequests_SmallAndLarge_ArePassed) {
+// No organisation exceeds its limit, and every request must pass.
+Test(QuotaWorld, NormalLoad_SmallAndLargeLimits_AllPass) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     QuotaWorld world(Options(seed, 76));
     for (const double rate : {2.0, 20.0, 450.0}) {
       world.AddOrganisation(MakeOrganisation(std::to_string(rate), rate),
-                            rate * kUsual / kRate);
+                            rate * kNormalRate / kRate);
     }
     world.Run(seconds(30));
     for (const double rate : {2.0, 20.0, 450.0}) {
       const QuotaResult result = world.ResultOf(std::to_string(rate));
-      cr_assert_leq(result.Shortfall(), kMostRefusedWhenCalm,
+      cr_assert_leq(result.Shortfall(), kMaxRefusedWhenCalm,
                     "seed %lu rate %g: %g refused", seed, rate,
                     result.Shortfall());
       cr_assert_leq(result.m_worst_window, 1, "seed %lu rate %g", seed, rate);
@@ -55,38 +56,38 @@
   }
 }
 
-// One organisation sends 7.5 times its usual. It gets what it is owed and no
-// more, and its neighbour all of its own.
-Test(QuotaWorld, OnePresses_AllVms_LimitHolds) {
+// One organisation sends 7.5 times its normal load. It gets its limit and no
+// more, and the other one gets all of its requests through.
+Test(QuotaWorld, OneOverloads_AllVms_LimitHolds) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     QuotaWorld world(Options(seed, 76));
-    world.AddOrganisation(MakeOrganisation("hot", kRate), kUsual);
-    world.AddOrganisation(MakeOrganisation("calm", kRate), kUsual);
-    world.SetDemand("hot", seconds(5), kUsual * kPressing);
-    world.SetDemand("hot", seconds(15), kUsual);
+    world.AddOrganisation(MakeOrganisation("hot", kRate), kNormalRate);
+    world.AddOrganisation(MakeOrganisation("calm", kRate), kNormalRate);
+    world.SetDemand("hot", seconds(5), kNormalRate * kOverloadFactor);
+    world.SetDemand("hot", seconds(15), kNormalRate);
     world.Run(seconds(25));
     cr_assert_leq(world.ResultOf("hot").m_worst_window, 1, "seed %lu", seed);
-    cr_assert_leq(world.ResultOf("hot").Shortfall(), kMostRefusedWhenPressed,
+    cr_assert_leq(world.ResultOf("hot").Shortfall(), kMaxRefusedUnderOverload,
                   "seed %lu: %g refused", seed,
                   world.ResultOf("hot").Shortfall());
-    cr_assert_leq(world.ResultOf("calm").Shortfall(), kMostRefusedWhenCalm,
+    cr_assert_leq(world.ResultOf("calm").Shortfall(), kMaxRefusedWhenCalm,
                   "seed %lu", seed);
   }
 }
 
-// The clients of an organisation stay at two of 76 VMs. With equal parts these
-// would have two parts of 76 of the limit.
-Test(QuotaWorld, ClientsAtFewVms_UsualRequests_ArePassed) {
+// The clients of an organisation use two of 76 VMs. With equal shares for all
+// VMs these would have 2/76 of the limit.
+Test(QuotaWorld, ClientsAtFewVms_NormalLoad_AllPass) {
   QuotaWorldOptions options = Options(3, 76);
   options.m_vms_of_clients = 2;
   QuotaWorld world(options);
-  world.AddOrganisation(MakeOrganisation("few", kRate), kUsual);
+  world.AddOrganisation(MakeOrganisation("few", kRate), kNormalRate);
   world.Run(seconds(30));
-  cr_assert_leq(world.ResultOf("few").Shortfall(), kMostRefusedWhenCalm);
+  cr_assert_leq(world.ResultOf("few").Shortfall(), kMaxRefusedWhenCalm);
   cr_assert_leq(world.ResultOf("few").m_worst_window, 1);
 }
 
-/// Four faults drawn from a seed, while one organisation presses.
+/// Four random faults while one organisation overloads.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
   QuotaWorldOptions options = Options(seed, 12);
@@ -94,7 +95,7 @@
   QuotaWorld world(options);
   const double rate = seed % 2 == 0 ? 4 : 200;
   world.AddOrganisation(MakeOrganisation("hot", rate),
-                        rate * kPressing * kUsual / kRate);
+                        rate * kOverloadFactor * kNormalRate / kRate);
   for (int fault = 0; fault < 4; ++fault) {
     const Duration at = milliseconds(3000 + random() % 9000);
     const Duration lasts = milliseconds(300 + random() % 6000);
@@ -118,10 +119,10 @@
   return world.ResultOf("hot").m_worst_window;
 }
 
-// Keepers are killed under an organisation that presses, and forget what they
-// granted; all are killed at once; VMs are cut off with tokens in hand; the
-// limit is lowered. Whatever is drawn, no window holds more than the bound.
-Test(QuotaWorld, DrawnFaults_OnePresses_LimitHolds) {
+// While one organisation overloads, keepers are killed and lose their state;
+// all VMs are killed at once; VMs are cut off while they hold tokens; the limit
+// is lowered. With any random faults, no window exceeds the bound.
+Test(QuotaWorld, RandomFaults_OneOverloads_LimitHolds) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     const double worst = WorstWindowUnderFaults(seed);
@@ -129,17 +130,18 @@
       broken += std::to_string(seed) + ": " + std::to_string(worst) + "  ";
     }
   }
-  cr_assert(broken.empty(), "seeds and parts of the bound: %s", broken.c_str());
+  cr_assert(broken.empty(), "seeds and ratios to the bound: %s",
+            broken.c_str());
 }
 
-// All VMs restart while usual requests come. Their buckets begin with little;
-// soon after it all must pass again.
-Test(QuotaWorld, AllRestart_UsualRequests_ArePassedSoon) {
+// All VMs restart under normal load. Their new buckets start with few tokens;
+// soon afterwards all requests must pass again.
+Test(QuotaWorld, AllRestart_NormalLoad_PassesSoon) {
   QuotaWorld world(Options(7, 76));
-  world.AddOrganisation(MakeOrganisation("usual", kRate), kUsual);
+  world.AddOrganisation(MakeOrganisation("usual", kRate), kNormalRate);
   world.KillAll(seconds(10), milliseconds(1400));
   world.Run(seconds(30));
-  cr_assert_leq(world.ResultOf("usual").Shortfall(), kMostRefusedWhenPressed,
+  cr_assert_leq(world.ResultOf("usual").Shortfall(), kMaxRefusedUnderOverload,
                 "%g refused", world.ResultOf("usual").Shortfall());
 }
 
--- a/tests/region_times_test.cc
+++ b/tests/region_latencies_test.cc
@@ -1,11 +1,11 @@
-/// @file region_times_test.cc Times at near and far servers.
+/// @file region_latencies_test.cc Latencies of near and far servers.
 
 #include <criterion/criterion.h>
 
 #include <memory>
 
 #include "steer/attempt_report_type.h"
-#include "steer/region_times.h"
+#include "steer/region_latencies.h"
 #include "tests/steering_fixture.h"
 
 namespace sorrelplank {
@@ -15,56 +15,60 @@
 constexpr size_t kFar = 1;
 constexpr uint32_t kSlots = 2;
 
-struct RegionTimesFixture {
-  RegionTimes m_times{2};
+struct RegionLatenciesFixture {
+  RegionLatencies m_latencies{2};
 
   void Add(size_t region, Duration latency, ReportedLoad load) {
     AttemptReport report;
     report.m_end = AttemptEnd::kAnswered;
     report.m_latency = latency;
     report.m_load = load;
-    m_times.Add(region, report, kSlots);
+    m_latencies.Add(region, report, kSlots);
   }
 };
 
-std::unique_ptr<RegionTimesFixture> g_fixture;
+std::unique_ptr<RegionLatenciesFixture> g_fixture;
 
 void SetUp() {
-  g_fixture = std::make_unique<RegionTimesFixture>();
+  g_fixture = std::make_unique<RegionLatenciesFixture>();
 }
 
 void TearDown() {
   g_fixture.reset();
 }
 
-TestSuite(RegionTimes, .init = SetUp, .fini = TearDown);
+TestSuite(RegionLatencies, .init = SetUp, .fini = TearDown);
 
-Test(RegionTimes, FarRegion_SameWork_OnlyTheWayDiffers) {
+Test(RegionLatencies, FarRegion_SameSlotTime_OnlyNetworkLatencyDiffers) {
   for (int answer = 0; answer < 60; ++answer) {
     g_fixture->Add(kNear, milliseconds(150), {1, 0, kSlots});
     g_fixture->Add(kFar, milliseconds(260), {1, 0, kSlots});
   }
-  cr_assert_float_eq(ToMilliseconds(g_fixture->m_times.Usual(kNear)), 150, 5);
-  cr_assert_float_eq(ToMilliseconds(g_fixture->m_times.Usual(kFar)), 260, 5);
-  cr_assert_float_eq(ToMilliseconds(g_fixture->m_times.Work(kFar)), 150, 20);
+  cr_assert_float_eq(ToMilliseconds(g_fixture->m_latencies.Mean(kNear)), 150,
+                     5);
+  cr_assert_float_eq(ToMilliseconds(g_fixture->m_latencies.Mean(kFar)), 260, 5);
+  cr_assert_float_eq(ToMilliseconds(g_fixture->m_latencies.SlotTime(kFar)), 150,
+                     20);
 }
 
-// Four requests at two slots: half of the time was spent in the queue.
-Test(RegionTimes, ServerFull_Queue_IsNotWork) {
+// Four requests at two slots: half of the latency was spent in the queue.
+Test(RegionLatencies, ServerFull_QueueTime_IsNotSlotTime) {
   g_fixture->Add(kNear, milliseconds(300), {2, 2, kSlots});
-  cr_assert_float_eq(ToMilliseconds(g_fixture->m_times.Work(kNear)), 150, 1);
+  cr_assert_float_eq(ToMilliseconds(g_fixture->m_latencies.SlotTime(kNear)),
+                     150, 1);
 }
 
-Test(RegionTimes, RegionUnknown_Usual_IsThatOfAllOthers) {
+Test(RegionLatencies, RegionWithoutResponses_Mean_IsThatOfAllRegions) {
   g_fixture->Add(kFar, milliseconds(260), {1, 0, kSlots});
-  cr_assert_float_eq(ToMilliseconds(g_fixture->m_times.Usual(kNear)), 260, 1);
+  cr_assert_float_eq(ToMilliseconds(g_fixture->m_latencies.Mean(kNear)), 260,
+                     1);
 }
 
-// Most requests of a caller's region are served far away, 300 ms each; near
-// servers need 80 ms. Twelve requests for the four near slots arrive at once.
-// All can be answered within the target of 400 ms, so that those without a slot
-// wait. With one mean over all regions some of them were refused.
-Test(RegionTimes, MostAnswersFromAfar_NearServersFull_RequestsWait) {
+// Most requests of a caller's region are served far away in 300 ms each; near
+// servers take 80 ms. Twelve requests for the four near slots arrive at once.
+// All can be answered within the target latency of 400 ms, so those without a
+// slot must wait. With one mean over all regions some of them were refused.
+Test(RegionLatencies, MostResponsesFromFarRegion_NearServersFull_RequestsWait) {
   SteeringFixture steering;
   steering.PutServer("far", "d3");
   steering.Pass(milliseconds(200));
--- a/tests/region_shares_test.cc
+++ b/tests/region_shares_test.cc
@@ -1,4 +1,4 @@
-/// @file region_shares_test.cc The split of a service over regions.
+/// @file region_shares_test.cc Distribution of a service over regions.
 
 #include "steer/region_shares.h"
 
@@ -14,22 +14,22 @@
 constexpr size_t kRegions = 3;
 constexpr size_t kOwn = 0;
 constexpr RegionShares::Mask kAll = 0b111;
-/// A third of the 0.15 that may move between two windows of 2 s.
-constexpr double kPerSecond = 0.05;
+/// A third of the 0.15 that may move between two windows of 2 s; per second.
+constexpr double kMaxShiftPerSecond = 0.05;
 constexpr uint64_t kObjects = 2000;
 
-/// The own region has a sixth of the slots, the last one a half.
+/// The own region has a sixth of the slots, the last one half of them.
 std::vector<RegionLoad> Loads(double own, double second, double third) {
   return {{10, 10, own}, {20, 20, second}, {30, 30, third}};
 }
 
-/// A split that has begun to serve.
+/// Shares after Start().
 struct SharesFixture {
   RegionShares m_shares{kRegions, kOwn};
   TimePoint m_now{seconds(10)};
 
   SharesFixture() {
-    m_shares.Update(Loads(0, 0, 0), kPerSecond, {}, m_now);
+    m_shares.Update(Loads(0, 0, 0), kMaxShiftPerSecond, {}, m_now);
     m_shares.Start();
   }
 
@@ -46,7 +46,7 @@
            const MovedAwayBounds& bounds = {}) {
     for (Duration step{}; step < time; step += milliseconds(100)) {
       m_now += milliseconds(100);
-      m_shares.Update(loads, kPerSecond, bounds, m_now);
+      m_shares.Update(loads, kMaxShiftPerSecond, bounds, m_now);
     }
   }
 };
@@ -63,26 +63,26 @@
 
 TestSuite(RegionShares, .init = SetUp, .fini = TearDown);
 
-Test(RegionShares, NotStarted_FewSlotsAtHome_SendsTheRestWhereSlotsAre) {
+Test(RegionShares, NotStarted_FewOwnSlots_RestGoesToRegionsWithSlots) {
   cr_assert_float_eq(g_fixture->m_shares.Share(0), 0.5, 0.01);
   cr_assert_float_eq(g_fixture->m_shares.Share(2), 0.5, 0.01);
 }
 
-// Servers register one after the other while the system starts. A split set by
-// the first few of them and then moved at the bounded rate would be wrong for
+// Servers register one after the other while the system starts. Shares set by
+// the first few of them and then changed at the bounded rate would be wrong for
 // many seconds.
-Test(RegionShares, NotStarted_MoreServersRegister_SplitFollows) {
+Test(RegionShares, NotStarted_MoreServersRegister_SharesFollow) {
   RegionShares shares(kRegions, kOwn);
-  shares.Update({{0, 0, 0}, {5, 5, 0}, {0, 0, 0}}, kPerSecond, {},
+  shares.Update({{0, 0, 0}, {5, 5, 0}, {0, 0, 0}}, kMaxShiftPerSecond, {},
                 TimePoint(seconds(1)));
-  shares.Update(Loads(0, 0, 0), kPerSecond, {}, TimePoint(seconds(2)));
+  shares.Update(Loads(0, 0, 0), kMaxShiftPerSecond, {}, TimePoint(seconds(2)));
   cr_assert_float_eq(shares.Share(0), 0.5, 0.01);
 }
 
-// The own region is overloaded from one moment to the next, with room
-// elsewhere. Objects move there, but no two seconds move more than 0.15 of
-// them; each moved object meets servers that are not warm for it.
-Test(RegionShares, Overload_RoomElsewhere_MovesAtMostTheAllowedPart) {
+// The own region is suddenly overloaded while other regions have spare
+// capacity. Objects move there, but no two seconds move more than 0.15 of them,
+// since the servers there are not warm for a moved object.
+Test(RegionShares, Overload_CapacityElsewhere_MovesWithinTheBound) {
   const auto before = g_fixture->RegionsOfObjects();
   g_fixture->Run(Loads(2, 0.2, 0.1), seconds(2));
   const auto after = g_fixture->RegionsOfObjects();
@@ -94,20 +94,20 @@
   cr_assert_leq(moved, kObjects * 15 / 100);
 }
 
-// Another service has moved nothing. This one stops where the two stand as far
-// apart as is allowed, however long it is overloaded.
-Test(RegionShares, Overload_OtherServicesAtHome_StopsAtTheAllowedGap) {
-  g_fixture->Run(Loads(2, 0.2, 0.1), seconds(60), {.m_most = 0.15});
+// Another service has moved nothing. This one stops at the maximum difference
+// between the two, however long it is overloaded.
+Test(RegionShares, Overload_OtherServicesUnmoved_StopsAtMaxDifference) {
+  g_fixture->Run(Loads(2, 0.2, 0.1), seconds(60), {.m_max = 0.15});
   cr_assert_float_eq(g_fixture->m_shares.MovedAway(), 0.15, 0.001);
 }
 
-// Another service stays away. This one has room at home, but comes home only to
-// where the two stand as far apart as is allowed; not a step further, though
-// both other regions give back.
-Test(RegionShares, Underload_OtherServicesAway_StopsAtTheAllowedGap) {
+// Another service stays in other regions. This one has spare capacity in its
+// own region, but moves back only up to the maximum difference between the two,
+// even though both other regions give objects back.
+Test(RegionShares, Underload_OtherServicesMovedAway_StopsAtMaxDifference) {
   g_fixture->Run(Loads(2, 0.2, 0.1), seconds(1));
   g_fixture->Run(Loads(2, 0.1, 0.2), seconds(1));
-  g_fixture->Run(Loads(0.2, 0.5, 0.5), seconds(60), {.m_least = -0.15});
+  g_fixture->Run(Loads(0.2, 0.5, 0.5), seconds(60), {.m_min = -0.15});
   cr_assert_float_eq(g_fixture->m_shares.MovedAway(), -0.15, 1e-6);
 }
 
@@ -116,15 +116,16 @@
   cr_assert_float_eq(g_fixture->m_shares.Share(0), 0.5, 0.01);
 }
 
-Test(RegionShares, OwnServersGone_AnyLoad_AllGoElsewhere) {
+Test(RegionShares, OwnServersRemoved_AnyLoad_AllObjectsMove) {
   g_fixture->Run({{0, 0, 0}, {20, 20, 0.5}, {30, 30, 0.5}}, milliseconds(100));
   const auto regions = g_fixture->RegionsOfObjects();
   cr_assert_eq(std::count(regions.begin(), regions.end(), kOwn), 0);
 }
 
-// Every server of the own region refuses connections, or is cold and left to
-// another entry VM. All objects go elsewhere at once, and come back with it.
-Test(RegionShares, OwnServersOutOfReach_AnyLoad_AllGoElsewhere) {
+// Every server of the own region refuses connections, or is cold and used by
+// another entry VM only. All objects move elsewhere at once, and back once the
+// region is reachable again.
+Test(RegionShares, OwnServersUnreachable_AnyLoad_AllObjectsMove) {
   const auto before = g_fixture->RegionsOfObjects();
   g_fixture->Run({{10, 0, 1}, {20, 20, 1}, {30, 30, 1}}, milliseconds(100));
   const auto away = g_fixture->RegionsOfObjects();
@@ -133,21 +134,20 @@
   cr_assert(before == g_fixture->RegionsOfObjects());
 }
 
-// No region can be reached: this VM itself is cut off, or everything has just
-// started. Its own region is tried as before, instead of none.
-Test(RegionShares, AllOutOfReach_Request_StaysInTheSplit) {
+// No region is reachable: this VM itself is cut off, or everything has just
+// started. The shares apply as before, instead of choosing no region.
+Test(RegionShares, AllUnreachable_AnyLoad_SharesStillApply) {
   const auto before = g_fixture->RegionsOfObjects();
   g_fixture->Run({{10, 0, 1}, {20, 0, 1}, {30, 0, 1}}, milliseconds(100));
   cr_assert(before == g_fixture->RegionsOfObjects());
 }
 
-// Requests with home regions are only run there, also where the split has no
-// share for those.
-Test(RegionShares, HomeElsewhere_NoShareThere_RunsAtHome) {
+// Requests with home regions run only there, even if these have no share.
+Test(RegionShares, HomeRegionWithoutShare_Object_RunsInHomeRegion) {
   cr_assert_eq(g_fixture->m_shares.RegionOf(7, 0b010), 1);
 }
 
-Test(RegionShares, HomeWithoutServers_Elsewhere_IsNoRegion) {
+Test(RegionShares, HomeRegionWithoutServers_Object_HasNoRegion) {
   g_fixture->Run({{10, 10, 0}, {0, 0, 0}, {30, 30, 0}}, milliseconds(100));
   cr_assert_eq(g_fixture->m_shares.RegionOf(7, 0b010), kRegions);
 }
