--- a/tests/region_shift_test.cc
+++ b/tests/region_shift_test.cc
@@ -1,4 +1,4 @@
-/// @file region_shift_test.cc How much of a region's requests changes region.
+/// @file region_shift_test.cc Bound on requests that change region.
 
 #include <criterion/criterion.h>
 
@@ -16,15 +16,15 @@
 
 constexpr size_t kOwn = 0;
 constexpr RegionShares::Mask kAll = ~RegionShares::Mask{0};
-/// What may change between two windows of 2 s, and the third of it that a
-/// split may move in a second.
-constexpr double kMostShift = 0.15;
-constexpr double kPerSecond = 0.05;
+/// Fraction of requests that may change region between two windows of 2 s, and
+/// the third of it that shares may move per second.
+constexpr double kMaxShift = 0.15;
+constexpr double kMaxShiftPerSecond = 0.05;
 constexpr Duration kStep = milliseconds(100);
 constexpr int kStepsPerWindow = 20;
 constexpr uint64_t kRequestsPerStep = 100;
 
-/// The split of a region with 72 of 672 slots, as its first requests arrive.
+/// Shares of a region with 72 of 672 slots when its first requests arrive.
 struct ShiftFixture {
   static constexpr size_t kRegions = 3;
   using Counts = std::array<double, kRegions>;
@@ -34,7 +34,7 @@
   uint64_t m_next_object = 0;
 
   ShiftFixture() {
-    m_shares.Update(Loads(0, 0, 0), kPerSecond, {}, m_now);
+    m_shares.Update(Loads(0, 0, 0), kMaxShiftPerSecond, {}, m_now);
     m_shares.Start();
   }
 
@@ -44,12 +44,12 @@
     return {{72, 72, own}, {276, 276, second}, {324, 324, third}};
   }
 
-  /// Part of the requests of the next window that each region runs.
+  /// Fraction of the requests of the next window that each region runs.
   Counts RunWindow(const std::vector<RegionLoad>& loads) {
     Counts parts{};
     for (int step = 0; step < kStepsPerWindow; ++step) {
       m_now += kStep;
-      m_shares.Update(loads, kPerSecond, {.m_most = kMostShift}, m_now);
+      m_shares.Update(loads, kMaxShiftPerSecond, {.m_max = kMaxShift}, m_now);
       for (uint64_t request = 0; request < kRequestsPerStep; ++request) {
         const size_t region = m_shares.RegionOf(m_next_object++, kAll);
         parts.at(region) += 1.0 / (kRequestsPerStep * kStepsPerWindow);
@@ -58,7 +58,7 @@
     return parts;
   }
 
-  /// Largest change between two adjacent windows.
+  /// Largest change between two adjacent windows, as a fraction of requests.
   double LargestShift(const std::vector<RegionLoad>& loads, int windows) {
     double largest = 0;
     Counts before = RunWindow(loads);
@@ -87,39 +87,36 @@
 
 TestSuite(RegionShift, .init = SetUp, .fini = TearDown);
 
-// A calm start: the region with few slots begins with a third of its objects at
-// home, is not full, and takes the others back. With nothing failing, a quarter
-// of its requests ran in another region than two seconds before; callers met
-// servers that were not warm. The split moved at twice the allowed speed, as
-// each of the two other regions gave back at the whole of it. The share of one
-// service at one VM in four lines:
-//   0.9478 s own_region_share share=0.38 own_load=0.69
-//   least_load_elsewhere=0.43 1.5628 s own_region_share share=0.43
-//   own_load=0.60 least_load_elsewhere=0.57 2.0746 s own_region_share
-//   share=0.48 own_load=0.61 least_load_elsewhere=0.59 2.5858 s
-//   own_region_share share=0.53 own_load=0.64 least_load_elsewhere=0.58
-// 0.05 in half a second, where a second was meant.
-Test(RegionShift, OwnRegionNotFull_TwoOthersGiveBack_StaysWithinTheBound) {
+// Start at low load: the region with few slots begins with a third of its
+// objects, is not full, and takes the others back. If each of the two other
+// regions gives back at full speed, shares move at twice the allowed speed: a
+// quarter of the requests ran in another region than two seconds before, at
+// servers that were not warm, without any failure. One service at one VM moved
+// 0.05 in half a second instead of in one second: at 0.9478 s, 1.5628 s, 2.0746
+// s and 2.5858 s its own_region_share was 0.38, 0.43, 0.48 and 0.53, with
+// own_load 0.69, 0.60, 0.61, 0.64 and least_load_elsewhere 0.43, 0.57, 0.59,
+// 0.58.
+Test(RegionShift, OwnRegionNotFull_TwoRegionsGiveBack_StaysWithinTheBound) {
   const double shift =
       g_fixture->LargestShift(ShiftFixture::Loads(0.62, 0.57, 0.58), 6);
   cr_assert_gt(shift, 0.05);
-  cr_assert_leq(shift, kMostShift, "%.3f of the requests changed region",
-                shift);
+  cr_assert_leq(shift, kMaxShift, "%.3f of the requests changed region", shift);
 }
 
-// The own region is full, one other region is fuller still and one has room:
-// objects come back from the one and leave for the other at the same moment.
-Test(RegionShift, OneRegionGivesBackOneTakes_StaysWithinTheBound) {
+// The own region is full, one other region is fuller still and one has spare
+// capacity: objects move back from the former and away to the latter at the
+// same time.
+Test(RegionShift,
+     OwnRegionFull_OneRegionGivesBackOneTakes_StaysWithinTheBound) {
   g_fixture->LargestShift(ShiftFixture::Loads(1.5, 0.4, 2), 4);
   const double shift =
       g_fixture->LargestShift(ShiftFixture::Loads(1.5, 2, 0.4), 6);
-  cr_assert_leq(shift, kMostShift, "%.3f of the requests changed region",
-                shift);
+  cr_assert_leq(shift, kMaxShift, "%.3f of the requests changed region", shift);
 }
 
-// Any loads of any number of regions: what moves in an update, over all
-// regions together, is at most what the time since the last one allows.
-Test(RegionShift, DrawnLoads_EachUpdate_MovesAtMostItsPart) {
+// Random loads of any number of regions: an update moves, over all regions
+// together, at most what the time since the last one allows.
+Test(RegionShift, RandomLoads_EachUpdate_MovesWithinTheBound) {
   for (uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
     std::uniform_real_distribution<double> load(0, 3);
@@ -131,7 +128,7 @@
       const auto slots = static_cast<double>(1 + random() % 100);
       loads.push_back({slots, slots, 0});
     }
-    shares.Update(loads, kPerSecond, {}, now);
+    shares.Update(loads, kMaxShiftPerSecond, {}, now);
     shares.Start();
     for (int step = 0; step < 200; ++step) {
       for (RegionLoad& region : loads) {
@@ -142,13 +139,13 @@
         before.push_back(shares.Share(region));
       }
       now += kStep;
-      shares.Update(loads, kPerSecond, {}, now);
+      shares.Update(loads, kMaxShiftPerSecond, {}, now);
       double changed = 0;
       for (size_t region = 0; region < regions; ++region) {
         changed += std::abs(shares.Share(region) - before[region]) / 2;
       }
-      cr_assert_leq(changed, kPerSecond / 10 + 1e-9, "seed %lu, step %d: %.4f",
-                    seed, step, changed);
+      cr_assert_leq(changed, kMaxShiftPerSecond / 10 + 1e-9,
+                    "seed %lu, step %d: %.4f", seed, step, changed);
     }
   }
 }
--- /dev/null
+++ b/tests/retry_budget_share_test.cc
@@ -0,0 +1,53 @@
+/// @file retry_budget_share_test.cc The retry budget of one entry VM.
+
+#include "steer/retry_budget_share.h"
+
+#include <criterion/criterion.h>
+
+namespace sorrelplank {
+namespace {
+
+constexpr Duration kWindow = seconds(10);
+
+TestSuite(RetryBudgetShare);
+
+Test(RetryBudgetShare, NoRequests_OnlyTheExtra_IsSpentOnce) {
+  RetryBudgetShare budget(kWindow);
+  const TimePoint now(seconds(100));
+  cr_assert(budget.TrySpend(0.2, 2, now));
+  cr_assert(budget.TrySpend(0.2, 2, now));
+  cr_assert_not(budget.TrySpend(0.2, 2, now));
+}
+
+// Servers reject a large part of their requests for many seconds; clients see
+// 503 for those that are not retried. If requests older than the window still
+// count, the servers get more retries than the budget allows. This happened
+// when the window's buckets were numbered with two different lengths.
+Test(RetryBudgetShare, RequestsOlderThanTheWindow_NoLongerCount) {
+  RetryBudgetShare budget(kWindow);
+  TimePoint now(seconds(100000));
+  for (int request = 0; request < 1000; ++request) {
+    budget.CountRequest(now);
+  }
+  cr_assert(budget.TrySpend(0.2, 0, now));
+  now += kWindow + seconds(1);
+  cr_assert_not(budget.TrySpend(0.2, 0, now));
+}
+
+// In any ten seconds, retries stay within the ratio to the requests of about
+// that time.
+Test(RetryBudgetShare,
+     SteadyRequests_EveryAttemptFails_RetriesStayWithinTheRatio) {
+  RetryBudgetShare budget(kWindow);
+  int spent = 0;
+  for (int step = 0; step < 3000; ++step) {
+    const TimePoint now(seconds(50) + milliseconds(10) * step);
+    budget.CountRequest(now);
+    spent += budget.TrySpend(0.2, 0, now) ? 1 : 0;
+  }
+  cr_assert_leq(spent, 3000 / 5);
+  cr_assert_geq(spent, 3000 / 6);
+}
+
+}  // namespace
+}  // namespace sorrelplank
--- a/tests/server_leaving_test.cc
+++ b/tests/server_leaving_test.cc
@@ -1,5 +1,5 @@
-/// @file server_leaving_test.cc Backend servers whose answers say that they
-/// leave.
+/// @file server_leaving_test.cc Backend servers whose responses announce that
+/// they are leaving.
 
 #include <criterion/criterion.h>
 
@@ -10,7 +10,7 @@
 namespace sorrelplank {
 namespace {
 
-/// Server "a" has said so in an answer; the store has told nothing.
+/// Server "a" announces it in a response; the store does not know yet.
 struct LeavingFixture : SteeringFixture {
   uint64_t m_object = 0;
 
@@ -34,29 +34,30 @@
 
 TestSuite(ServerLeaving, .init = SetUp, .fini = TearDown);
 
-// Guards against sends to a leaving server while the store cannot tell of it.
-Test(ServerLeaving, AnswerSaysSo_StoreIsAway_NothingMoreIsSent) {
+// Guards against sends to a leaving server while the store is unavailable.
+Test(ServerLeaving, Announced_StoreUnavailable_NothingMoreIsSent) {
   g_fixture->SayLeaving();
   g_fixture->m_steering.SetCutOff(true);
   cr_assert_eq(g_fixture->SentTo("a"), 0);
   cr_assert_gt(g_fixture->SentTo("b"), 0);
 }
 
-// Guards against passing over what a rejection or an error says.
-Test(ServerLeaving, FailureSaysSo_Requests_GoElsewhere) {
+// Guards against ignoring the notice in a rejection or an error.
+Test(ServerLeaving, AnnouncedInFailure_Requests_GoElsewhere) {
   g_fixture->SayLeaving(AttemptEnd::kRejected);
   cr_assert_eq(g_fixture->SentTo("a"), 0);
 }
 
-// Guards against an entry written before the answer that takes it back.
-Test(ServerLeaving, AnswerSaysSo_EntryStillReady_StaysOut) {
+// Guards against an entry, written before the response, that revokes the
+// notice.
+Test(ServerLeaving, Announced_EntryStillReady_StaysUnused) {
   g_fixture->SayLeaving();
   g_fixture->PutServer("a", "d1");
   cr_assert_eq(g_fixture->SentTo("a"), 0);
 }
 
-// Guards against a word that is forgotten while the entry is away.
-Test(ServerLeaving, AnswerSaysSo_EntryLapsesAndReturns_StaysOut) {
+// Guards against a notice that is lost while the entry is absent.
+Test(ServerLeaving, Announced_EntryExpiresAndReturns_StaysUnused) {
   g_fixture->SayLeaving();
   g_fixture->m_steering.RemoveServer("a", g_fixture->m_now);
   g_fixture->Pass(seconds(2));
@@ -64,8 +65,8 @@
   cr_assert_eq(g_fixture->SentTo("a"), 0);
 }
 
-// Guards against giving up the run that follows under the same id.
-Test(ServerLeaving, AnswerSaysSo_StartsAgainUnderItsId_IsUsed) {
+// Guards against applying the notice to the next run under the same id.
+Test(ServerLeaving, Announced_RestartsUnderItsId_IsUsed) {
   const auto put = [](milliseconds start) {
     g_fixture->m_steering.PutServer(
         {"a", "s", {1, 80}, "d1", 2, false, {}, start}, g_fixture->m_now);
@@ -77,8 +78,8 @@
   cr_assert_gt(g_fixture->SentTo("a"), 0);
 }
 
-// Guards against requests that wait on for a server that leaves.
-Test(ServerLeaving, RequestsWaitForIt_AnswerSaysSo_AreSettledAtOnce) {
+// Guards against requests that keep waiting for a leaving server.
+Test(ServerLeaving, RequestsWaiting_ServerAnnounces_AreDecidedAtOnce) {
   const SendToServer at_a = g_fixture->LetWritesWaitForA(g_fixture->m_object);
   cr_assert_gt(g_fixture->m_steering.WaitingCount(), 3);
   g_fixture->m_now += milliseconds(1900);
@@ -89,8 +90,8 @@
                     "%s", g_fixture->Last<SendToServer>()->m_instance.c_str());
 }
 
-// Guards against a last resort that goes to servers that leave.
-Test(ServerLeaving, AllSaySo_Request_IsRefusedAtOnceAsNotRun) {
+// Guards against a fallback that sends to leaving servers.
+Test(ServerLeaving, AllLeaving_Request_IsRefusedAtOnceAsNotRun) {
   g_fixture->SayLeaving();
   g_fixture->Arrive("/read/x", g_fixture->m_object);
   g_fixture->EndWithNotice(*g_fixture->Last<SendToServer>(),
--- a/tests/server_limit_test.cc
+++ b/tests/server_limit_test.cc
@@ -1,5 +1,5 @@
-/// @file server_limit_test.cc Limits that backend servers name, over many entry
-/// VMs.
+/// @file server_limit_test.cc Rate limits that backend servers name, over many
+/// entry VMs.
 
 #include <criterion/criterion.h>
 
@@ -16,9 +16,9 @@
 
 TestSuite(ServerLimit, .timeout = 240);
 
-// Guards against a server that gets more from all entry VMs together than it
-// said it takes.
-Test(ServerLimit, NamedInAnswers_AllVmsAsk_SumKeepsTheBound) {
+// Guards against a server that gets more requests from all entry VMs together
+// than its limit.
+Test(ServerLimit, NamedInResponses_AllVmsSend_SumStaysWithinTheBound) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     LimitWorld world({.m_seed = seed});
@@ -32,11 +32,12 @@
       }
     }
   }
-  cr_assert(broken.empty(), "seeds and parts of the bound: %s", broken.c_str());
+  cr_assert(broken.empty(), "seeds and ratios to the bound: %s",
+            broken.c_str());
 }
 
-// Guards against a limit that leaves most of what the server takes unused.
-Test(ServerLimit, NamedInAnswers_MoreIsAsked_MostOfItIsUsed) {
+// Guards against a limit of which the VMs leave most unused.
+Test(ServerLimit, NamedInResponses_LoadAboveTheLimit_MostOfItIsUsed) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     LimitWorld world({.m_seed = seed});
     world.SetLimit(0, seconds(8), 3.3);
@@ -47,8 +48,9 @@
   }
 }
 
-// Guards against requests that wait or fail where other servers have room.
-Test(ServerLimit, NamedInAnswers_OthersHaveRoom_AllAreAnswered) {
+// Guards against requests that wait or fail while other servers have free
+// slots.
+Test(ServerLimit, NamedInResponses_OtherServersFree_AllAreAnswered) {
   LimitWorld world({.m_seed = 1});
   world.SetLimit(0, seconds(8), 3.3);
   world.SetLimit(4, seconds(8), 0);
@@ -57,9 +59,9 @@
   cr_assert_eq(world.Counts().m_failed, 0);
 }
 
-// Guards against a server that is left alone for good: only its answers tell
-// that a limit has ended.
-Test(ServerLimit, LimitOfZeroEnds_ServerIsFound_GetsItsShareAgain) {
+// Guards against a server that never gets requests again: only its responses
+// show that a limit has ended.
+Test(ServerLimit, LimitOfZeroEnds_Server_GetsItsShareAgain) {
   LimitWorld world({.m_seed = 1});
   world.SetLimit(0, seconds(8), 0);
   world.SetLimit(0, seconds(20), -1);
@@ -69,14 +71,14 @@
   cr_assert_geq(world.ResultOf(0).m_used, 0.05);
 }
 
-// Guards against callers who are told to come back before a server that is at
-// its limit can take them.
-Test(ServerLimit, AllServersAtTheirLimit_Request_IsToldWhenThereIsRoom) {
+// Guards against a Retry-After that is too early for the servers at their limit
+// to accept the request.
+Test(ServerLimit, AllServersAtTheirLimit_Request_IsRefusedWithRetryAfter) {
   SteeringFixture fixture;
   for (uint64_t object = 0; object < 20; ++object) {
     fixture.Arrive("/read/x", object);
     fixture.EndWithNotice(*fixture.Last<SendToServer>(), AttemptEnd::kAnswered,
-                          {.m_most_per_second = 0.5});
+                          {.m_max_per_second = 0.5});
   }
   fixture.Arrive("/read/x");
   cr_assert_eq(fixture.LastReason(), SteerRefusal::kNoServer);
@@ -84,22 +86,22 @@
                 1000);
 }
 
-// Guards against a limit that an error ends: it need not be made by the part of
-// the server that names the limit.
-Test(ServerLimit, Named_ErrorWithoutIt_StillHolds) {
+// Guards against a limit that ends with an error response: another part of the
+// server than the one that names the limit may produce it.
+Test(ServerLimit, Named_ErrorWithoutIt_StaysInForce) {
   SteeringFixture fixture;
   fixture.Arrive("/read/x");
   const SendToServer first = *fixture.Last<SendToServer>();
   fixture.Arrive("/write/x");
   const SendToServer second = *fixture.Last<SendToServer>();
   cr_assert_str_eq(first.m_instance.c_str(), second.m_instance.c_str());
-  fixture.EndWithNotice(first, AttemptEnd::kAnswered, {.m_most_per_second = 2});
+  fixture.EndWithNotice(first, AttemptEnd::kAnswered, {.m_max_per_second = 2});
   fixture.Pass(milliseconds(1500));
   fixture.EndWithNotice(second, AttemptEnd::kServerError, {});
   cr_assert_eq(fixture.m_steering.LimitedServers(), 1);
 }
 
-/// A service whose only server stands in another region, with a VM there.
+/// A service whose only server is in another region, with a VM there.
 struct RemoteLimitFixture : SteeringFixture {
   RemoteLimitFixture() {
     m_steering.RemoveServer("a", m_now);
@@ -110,12 +112,12 @@
     Pass(seconds(1));
     Arrive("/read/x");
     EndWithNotice(*Last<SendToServer>(), AttemptEnd::kAnswered,
-                  {.m_most_per_second = 2});
+                  {.m_max_per_second = 2});
   }
 
-  /// The keeper grants what was asked for last.
+  /// Grants the last quota request as the keeper.
   void Grant() {
-    const QuotaAsk ask = Last<AskForTokens>()->m_question.m_ask;
+    const QuotaRequest ask = Last<AskForTokens>()->m_question.m_quota_request;
     m_steering.TakeQuotaGrant({.m_subject = ask.m_subject,
                                .m_number = ask.m_number,
                                .m_tokens = ask.m_tokens,
@@ -134,8 +136,8 @@
   cr_assert_eq(fixture.Count<SendToServer>(), sends + 1);
 }
 
-// Guards against a server that VMs of other regions never use again, since
-// they hear nothing of the limit's end.
+// Guards against a server that VMs of other regions never use again, since they
+// do not learn that the limit has ended.
 Test(ServerLimit, NamedLongAgo_OtherRegionsVm_AsksTheKeeperOnce) {
   RemoteLimitFixture fixture;
   fixture.PutServer("d", "d3");
@@ -148,7 +150,7 @@
   cr_assert_gt(fixture.SentTo("c"), 0);
 }
 
-/// Five faults drawn from a seed, while two servers name limits.
+/// Five random faults while two servers name limits.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
   LimitWorld world({.m_seed = seed, .m_loss = 0.02});
@@ -188,8 +190,8 @@
 }
 
 // Guards against a sum over the bound while keepers are killed, VMs are cut
-// off, servers start again, entries lapse and limits change.
-Test(ServerLimit, DrawnFaults_AllVmsAsk_SumKeepsTheBound) {
+// off, servers restart, entries expire and limits change.
+Test(ServerLimit, RandomFaults_AllVmsSend_SumStaysWithinTheBound) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     const double worst = WorstWindowUnderFaults(seed);
@@ -197,7 +199,8 @@
       broken += std::to_string(seed) + ": " + std::to_string(worst) + "  ";
     }
   }
-  cr_assert(broken.empty(), "seeds and parts of the bound: %s", broken.c_str());
+  cr_assert(broken.empty(), "seeds and ratios to the bound: %s",
+            broken.c_str());
 }
 
 }  // namespace
--- a/tests/server_notice_test.cc
+++ b/tests/server_notice_test.cc
@@ -1,4 +1,4 @@
-/// @file server_notice_test.cc What backend servers ask of their callers.
+/// @file server_notice_test.cc Notices of backend servers to their callers.
 
 #include <criterion/criterion.h>
 
@@ -28,47 +28,47 @@
     m_answer.m_headers.emplace_back("limit", text);
   }
   void TakeLimit(std::optional<double> limit) {
-    m_notices.Take({.m_most_per_second = limit}, true, m_now);
+    m_notices.Take({.m_max_per_second = limit}, true, m_now);
   }
 };
 
-Test(ServerNotice, LimitIsADecimal_Read_IsTaken) {
+Test(ServerNotice, DecimalLimit_Read_IsAccepted) {
   for (const auto& [text, limit] :
        {std::pair("1.7", 1.7), std::pair("0", 0.0), std::pair("250 ", 250.0)}) {
     NoticeFixture fixture;
     fixture.AddLimit(text);
-    cr_assert_eq(fixture.Read().m_most_per_second.value_or(-1), limit);
+    cr_assert_eq(fixture.Read().m_max_per_second.value_or(-1), limit);
     cr_assert(!fixture.Read().m_is_malformed);
   }
 }
 
-// Guards against a limit that is passed over for the spelling of its field.
-Test(ServerNotice, LimitUnderItsOtherName_Read_IsTaken) {
+// Guards against a limit that is ignored because of its field name.
+Test(ServerNotice, LimitUnderItsOtherName_Read_IsAccepted) {
   NoticeFixture fixture;
   fixture.m_answer.m_headers.emplace_back("other-limit", "2");
-  cr_assert_eq(fixture.Read().m_most_per_second, 2);
+  cr_assert_eq(fixture.Read().m_max_per_second, 2);
 }
 
-// Guards against a limit made of what is no number of requests.
-Test(ServerNotice, LimitIsNoDecimal_Read_AsksForNothing) {
+// Guards against a limit parsed from an invalid value.
+Test(ServerNotice, LimitIsNoDecimal_Read_IsMalformed) {
   for (const char* text : {"", " ", "-1", "-0", "nan", "inf", "1e3", "3,4",
                            "Thu, 03 Dec 2026 09:00:00 GMT"}) {
     NoticeFixture fixture;
     fixture.AddLimit(text);
-    cr_assert(!fixture.Read().m_most_per_second, "%s", text);
+    cr_assert(!fixture.Read().m_max_per_second, "%s", text);
     cr_assert(fixture.Read().m_is_malformed, "%s", text);
   }
 }
 
-Test(ServerNotice, TwoLimitsInOneAnswer_Read_TheStricterCounts) {
+Test(ServerNotice, TwoLimitsInOneResponse_Read_TheLowerCounts) {
   NoticeFixture fixture;
   fixture.AddLimit("9");
   fixture.AddLimit("2.5");
-  cr_assert_eq(fixture.Read().m_most_per_second, 2.5);
+  cr_assert_eq(fixture.Read().m_max_per_second, 2.5);
 }
 
-// Guards against a server that is given up for a field that says nothing.
-Test(ServerNotice, LeavingIsNotOne_Read_DoesNotLeave) {
+// Guards against a server that counts as leaving because of an invalid value.
+Test(ServerNotice, LeavingIsNotOne_Read_IsNotLeaving) {
   for (const char* text : {"0", "", "no", "2", "-1"}) {
     NoticeFixture fixture;
     fixture.m_answer.m_headers.emplace_back("leaving", text);
@@ -79,8 +79,8 @@
   cr_assert(fixture.Read().m_is_leaving);
 }
 
-// Guards against an answer that was overtaken and takes the word back.
-Test(ServerNotice, SaidThatItLeaves_AnswerWithout_StillLeaves) {
+// Guards against a delayed older response that revokes the notice.
+Test(ServerNotice, Leaving_ResponseWithout_StaysLeaving) {
   NoticeFixture fixture;
   fixture.m_notices.Take({.m_is_leaving = true}, true, fixture.m_now);
   fixture.m_now += seconds(60);
@@ -88,7 +88,7 @@
   cr_assert(fixture.m_notices.IsLeaving());
 }
 
-// Guards against a pause made of what is no number of seconds.
+// Guards against a pause parsed from an invalid value.
 Test(ServerNotice, RetryAfterOf503_Read_IsAPauseOfSeconds) {
   for (const auto& [text, pause] :
        {std::pair("3", Duration{seconds(3)}),
@@ -108,7 +108,7 @@
   }
 }
 
-// Guards against a server that is left alone for what it told a client.
+// Guards against a pause from a Retry-After that was meant for the client.
 Test(ServerNotice, RetryAfterOfAnotherStatus_Read_IsNoPause) {
   for (const int status : {200, 429, 500}) {
     NoticeFixture fixture;
@@ -118,9 +118,9 @@
   }
 }
 
-// Guards against a shorter pause, asked for in an answer that was overtaken,
-// that ends a longer one.
-Test(ServerNotice, TwoPauses_Taken_TheLaterEndHolds) {
+// Guards against a shorter pause in a delayed older response that ends a longer
+// one.
+Test(ServerNotice, TwoPauses_Applied_TheLaterEndCounts) {
   NoticeFixture fixture;
   fixture.m_notices.Take({.m_pause = seconds(3)}, true, fixture.m_now);
   fixture.m_notices.Take({.m_pause = seconds(1)}, true, fixture.m_now);
@@ -128,8 +128,8 @@
   cr_assert(!fixture.m_notices.IsPaused(fixture.m_now + seconds(3)));
 }
 
-// Guards against taking the word of another server at the address.
-Test(ServerNotice, AnswerOfAnotherInstance_Judged_HasNoNotice) {
+// Guards against notices from another server at the same address.
+Test(ServerNotice, ResponseOfAnotherInstance_Classified_HasNoNotice) {
   NoticeFixture fixture;
   fixture.AddLimit("1");
   ServerReply reply;
@@ -139,29 +139,29 @@
   cr_assert(!JudgeReply(reply, fixture.m_names).m_notice);
 }
 
-Test(ServerNotice, LimitNoLongerNamed_LaterAnswer_EndsIt) {
+Test(ServerNotice, LimitNoLongerNamed_LaterResponse_EndsIt) {
   NoticeFixture fixture;
   fixture.TakeLimit(3);
   fixture.m_now += seconds(2);
   fixture.TakeLimit(std::nullopt);
-  cr_assert(!fixture.m_notices.MostPerSecond());
+  cr_assert(!fixture.m_notices.MaxPerSecond());
 }
 
-// Guards against an older answer on another connection that ends a limit.
-Test(ServerNotice, LimitNamedAMomentAgo_AnswerWithout_KeepsIt) {
+// Guards against an older response on another connection that ends a limit.
+Test(ServerNotice, LimitNamedRecently_ResponseWithout_KeepsIt) {
   NoticeFixture fixture;
   fixture.TakeLimit(3);
   fixture.m_now += milliseconds(200);
   fixture.TakeLimit(std::nullopt);
-  cr_assert_eq(fixture.m_notices.MostPerSecond(), 3);
+  cr_assert_eq(fixture.m_notices.MaxPerSecond(), 3);
 }
 
-Test(ServerNotice, LimitUnreadable_KnownLimit_Stays) {
+Test(ServerNotice, MalformedLimit_KnownLimit_Stays) {
   NoticeFixture fixture;
   fixture.TakeLimit(3);
   fixture.m_now += seconds(2);
   fixture.m_notices.Take({.m_is_malformed = true}, true, fixture.m_now);
-  cr_assert_eq(fixture.m_notices.MostPerSecond(), 3);
+  cr_assert_eq(fixture.m_notices.MaxPerSecond(), 3);
   cr_assert(fixture.m_notices.WasMalformed());
 }
 
--- a/tests/server_pause_test.cc
+++ b/tests/server_pause_test.cc
@@ -1,5 +1,5 @@
-/// @file server_pause_test.cc Backend servers that turn requests away and ask
-/// for a pause.
+/// @file server_pause_test.cc Backend servers that reject requests and ask for
+/// a pause.
 
 #include <criterion/criterion.h>
 
@@ -11,7 +11,7 @@
 namespace sorrelplank {
 namespace {
 
-/// Server "a" is the first of the object.
+/// Server "a" is the preferred one of the object.
 struct PauseFixture : SteeringFixture {
   uint64_t m_object = 0;
 
@@ -47,21 +47,21 @@
 
 TestSuite(ServerPause, .init = SetUp, .fini = TearDown);
 
-// Guards against requests to a server for the time for which it wants none.
-Test(ServerPause, AskedFor_DuringIt_NothingIsSent) {
+// Guards against requests to a server during its pause.
+Test(ServerPause, Paused_DuringThePause_NothingIsSent) {
   g_fixture->AskForPause(seconds(3));
   cr_assert_eq(g_fixture->SentTo("a", 140), 0);
 }
 
-// Guards against a server that is left alone for good.
-Test(ServerPause, AskedFor_BehindIt_ServerIsUsed) {
+// Guards against a server that never gets requests again.
+Test(ServerPause, Paused_AfterThePause_ServerIsUsed) {
   g_fixture->AskForPause(seconds(3));
   g_fixture->Pass(seconds(3));
   cr_assert_gt(g_fixture->SentTo("a"), 0);
 }
 
-// Guards against a pause that is forgotten while the entry is away.
-Test(ServerPause, AskedFor_EntryLapsesAndReturns_StillHolds) {
+// Guards against a pause that is lost while the entry is absent.
+Test(ServerPause, Paused_EntryExpiresAndReturns_StaysPaused) {
   g_fixture->AskForPause(seconds(3));
   g_fixture->m_steering.RemoveServer("a", g_fixture->m_now);
   g_fixture->Pass(seconds(1));
@@ -69,20 +69,21 @@
   cr_assert_eq(g_fixture->SentTo("a"), 0);
 }
 
-// Guards against requests that wait on for a server that wants none.
-Test(ServerPause, RequestsWaitForIt_AskedFor_AreSettledAtOnce) {
+// Guards against requests that keep waiting for a paused server.
+Test(ServerPause, RequestsWaiting_ServerPauses_AreDecidedAtOnce) {
   const SendToServer at_a = g_fixture->LetWritesWaitForA(g_fixture->m_object);
   cr_assert_gt(g_fixture->m_steering.WaitingCount(), 3);
   g_fixture->m_now += milliseconds(1900);
   g_fixture->EndWithNotice(at_a, AttemptEnd::kRejected,
                            {.m_pause = seconds(3)});
-  // So near to their target they are refused instead of waiting elsewhere.
+  // This close to their target latency they are refused instead of waiting for
+  // another server.
   cr_assert_eq(g_fixture->m_steering.WaitingCount(), 0);
 }
 
-// Guards against a last resort that goes to servers that want nothing, and
-// against a time to come back at which they still do not.
-Test(ServerPause, AllAskForIt_Request_IsToldWhenTheFirstEnds) {
+// Guards against a fallback that sends to paused servers, and against a
+// Retry-After at which they are still paused.
+Test(ServerPause, AllPaused_Request_IsRefusedUntilTheFirstPauseEnds) {
   g_fixture->PauseBoth(seconds(20), seconds(4));
   g_fixture->Pass(seconds(1));
   const size_t sends = g_fixture->Count<SendToServer>();
@@ -94,8 +95,8 @@
   cr_assert_lt(ToMilliseconds(retry), 4000);
 }
 
-// Guards against refusals until the regions are next measured.
-Test(ServerPause, AllOfTheRegionAskForIt_NextRequest_GoesToAnotherRegion) {
+// Guards against refusals until the next update of the region loads.
+Test(ServerPause, AllOfTheRegionPaused_NextRequest_GoesToAnotherRegion) {
   g_fixture->PutServer("c", "d3");
   g_fixture->Pass(seconds(1));
   g_fixture->PauseBoth(seconds(3), seconds(3));
@@ -105,8 +106,8 @@
   cr_assert_eq(g_fixture->Count<RefuseRequest>(), refused);
 }
 
-// Guards against callers who all come back in the moment when a pause ends.
-Test(ServerPause, AllAskForIt_ManyRequests_AreToldDifferentTimes) {
+// Guards against callers that all retry at the moment when a pause ends.
+Test(ServerPause, AllPaused_ManyRequests_GetDifferentRetryAfter) {
   g_fixture->PauseBoth(seconds(4), seconds(4));
   std::set<Duration> times;
   for (int request = 0; request < 20; ++request) {
--- a/tests/server_probe_test.cc
+++ b/tests/server_probe_test.cc
@@ -28,12 +28,12 @@
   const asio::ip::tcp::acceptor acceptor(io,
                                          {asio::ip::address_v4::loopback(), 0});
   cr_assert_eq(ReachAt(io, acceptor.local_endpoint().port()),
-               ServerReach::kOpens);
+               ServerReach::kAcceptsConnections);
 }
 
 Test(ServerProbe, NothingListens_Reach_Refuses) {
   asio::io_context io;
-  cr_assert_eq(ReachAt(io, FreePort()), ServerReach::kRefuses);
+  cr_assert_eq(ReachAt(io, FreePort()), ServerReach::kRefusesConnections);
 }
 
 }  // namespace
--- a/tests/shift_cap_test.cc
+++ b/tests/shift_cap_test.cc
@@ -1,4 +1,4 @@
-/// @file shift_cap_test.cc Caps on callers that are at home elsewhere.
+/// @file shift_cap_test.cc Caps on calls from callers of other places.
 
 #include <criterion/criterion.h>
 
@@ -19,8 +19,8 @@
   g_fixture.reset();
 }
 
-/// A call of a caller who is at home at n2, answered at once; true if it was
-/// dispatched here.
+/// Makes a call from a caller whose home is n2 and answers it at once; true if
+/// it was dispatched here.
 bool CallFromElsewhere(NodeFixture& a, uint64_t request) {
   IncomingCall call = a.MakeCall("read", request);
   call.m_caller_ip = (10U << 24U) | (2U << 16U) | 7U;
@@ -37,7 +37,7 @@
 
 TestSuite(ShiftCap, .init = SetUp, .fini = TearDown);
 
-Test(ShiftCap, CapReached_MoreInTheSameSecond_AreNotTaken) {
+Test(ShiftCap, CapReached_MoreCallsInTheSameSecond_AreNotTaken) {
   NodeFixture& a = *g_fixture;
   a.Run(seconds(2));
   int taken = 0;
@@ -57,10 +57,10 @@
   cr_assert_not_null(a.Find<DispatchToBackend>());
 }
 
-// A server changes hands within milliseconds. Its former holder has used the
-// cap's share of this second up; the new holder's window knows nothing of it.
-// Both together would take twice the share.
-Test(ShiftCap, JustTakenOver_FormerHolderUsedTheShare_TakesNoneYet) {
+// A server moves to another holder within milliseconds. The former holder has
+// used up this second's share of the cap, which the new holder's window does
+// not contain. Both together would take twice the share.
+Test(ShiftCap, JustTakenOver_FormerHolderUsedTheShare_TakesNone) {
   NodeFixture& a = *g_fixture;
   a.Feed(SnapshotInstalled{ParseSmall(2, R"({"backend_servers": {
       "r-n1": {"leaving": true},
@@ -77,8 +77,8 @@
   cr_assert(CallFromElsewhere(a, 3));
 }
 
-// The configuration changes in the middle of a second. What the link took in
-// it still counts.
+// The configuration changes in the middle of a second. Calls that the link took
+// earlier in that second still count.
 Test(ShiftCap, LinkCapUsedUp_ConfigChanges_StaysUsedUp) {
   NodeFixture a;
   const char* link =
@@ -110,8 +110,9 @@
 }
 
 // The holder is paused; its sibling holds the server meanwhile and uses the
-// share. When the holder holds it again, its own window is old and empty.
-Test(ShiftCap, HeldAgainAfterPause_SiblingUsedTheShare_TakesNoneYet) {
+// share. When the first holder regains the server, its own window is outdated
+// and empty.
+Test(ShiftCap, HeldAgainAfterPause_SiblingUsedTheShare_TakesNone) {
   NodeFixture& a = *g_fixture;
   a.Run(seconds(2));
   a.Pause(seconds(6));
--- a/tests/start_gate_test.cc
+++ b/tests/start_gate_test.cc
@@ -11,7 +11,7 @@
 
 TestSuite(StartGate);
 
-// A usual start: the table is read within a quarter of a second. The port is
+// A normal start: the table is read within a quarter of a second. The port is
 // never closed, and requests that arrive meanwhile are held.
 Test(StartGate, TableReadInTime_Start_PortStaysOpen) {
   StartGate gate(kStart);
@@ -22,12 +22,14 @@
   cr_assert(gate.IsOpen());
 }
 
-// The VM starts while the store is away. Its clients would be refused for as
-// long as that lasts, and would come back to it. It closes its port once nobody
-// is held any more, and opens it when it has read the table.
-Test(StartGate, StoreAwayAtStart_UntilItIsBack_PortIsClosed) {
+// The VM starts while the store is unavailable. With an open port its clients
+// would be refused for as long as that lasts, and would retry there. It closes
+// the port once no requests are held any more, and opens it when it has read
+// the table.
+Test(StartGate, StoreUnavailableAtStart_UntilTableIsRead_PortIsClosed) {
   StartGate gate(kStart);
-  cr_assert(gate.Update(false, kStart + kMostHeld) == StartGate::Step::kClose);
+  cr_assert(gate.Update(false, kStart + kMaxHoldTime) ==
+            StartGate::Step::kClose);
   cr_assert(gate.Update(false, kStart + seconds(5)) == StartGate::Step::kNone);
   cr_assert_not(gate.IsOpen());
   cr_assert(gate.Update(true, kStart + seconds(6)) == StartGate::Step::kOpen);
--- a/tests/steering_fixture.h
+++ b/tests/steering_fixture.h
@@ -34,8 +34,8 @@
           .m_idempotent = is_idempotent,
           .m_timeout = seconds(2),
           .m_target_latency = milliseconds(400),
-          .m_most_sends = 2,
-          .m_keeps_objects_together = true,
+          .m_max_sends = 2,
+          .m_has_object_affinity = true,
           .m_home_regions = {},
           .m_shares = {{"s", 1}}};
 }
@@ -75,7 +75,7 @@
     table->m_organisations = std::move(organisations);
     table->m_routes = std::move(routes);
     table->m_services["s"] = {.m_name = "s",
-                              .m_most_connections = 100,
+                              .m_max_connections = 100,
                               .m_cold_start = seconds(3),
                               .m_cold_per_second = 4};
     m_steering.Install(table, m_now);
--- a/trial/limit_world.cc
+++ b/trial/limit_world.cc
@@ -262,11 +262,11 @@
                       .m_idempotent = true,
                       .m_timeout = kClientWaits,
                       .m_target_latency = milliseconds(500),
-                      .m_most_sends = 2,
-                      .m_keeps_objects_together = true,
+                      .m_max_sends = 2,
+                      .m_has_object_affinity = true,
                       .m_home_regions = {},
                       .m_shares = {{"s", 1}}}};
-  table->m_services["s"] = {.m_name = "s", .m_most_connections = 400};
+  table->m_services["s"] = {.m_name = "s", .m_max_connections = 400};
   steering->Install(table, m_queue.Now());
   TellServers(vm);
   TellFleet(vm);
@@ -325,7 +325,7 @@
   } else if (const auto* ask = std::get_if<AskForTokens>(&action)) {
     for (size_t other = 0; other < m_vms.size(); ++other) {
       if (NameOfVm(other) == ask->m_question.m_keeper) {
-        Carry(vm, other, ask->m_question.m_ask);
+        Carry(vm, other, ask->m_question.m_quota_request);
       }
     }
   }
@@ -389,7 +389,7 @@
     report.m_end = AttemptEnd::kAnswered;
     report.m_latency = kWork;
     report.m_notice.emplace();
-    report.m_notice->m_most_per_second = limit;
+    report.m_notice->m_max_per_second = limit;
     told.m_steering->Ended(action.m_request, action.m_attempt, report,
                            m_queue.Now());
   });
@@ -455,7 +455,7 @@
 
 void LimitWorld::Deliver(size_t from, size_t to, const QuotaMessage& message) {
   Steering& steering = *m_vms[to]->m_steering;
-  if (const auto* ask = std::get_if<QuotaAsk>(&message)) {
+  if (const auto* ask = std::get_if<QuotaRequest>(&message)) {
     Carry(to, from, steering.AnswerQuotaAsk(*ask, m_queue.Now()));
   } else {
     steering.TakeQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
--- a/trial/quota_world.cc
+++ b/trial/quota_world.cc
@@ -7,7 +7,7 @@
 #include <optional>
 #include <utility>
 
-#include "steer/quota_part_func.h"
+#include "steer/quota_share_func.h"
 
 namespace sorrelplank::trial {
 
@@ -57,7 +57,7 @@
   bool m_is_cut = false;
   /// Datagrams of a run that is over reach nobody.
   uint64_t m_run = 0;
-  std::map<std::string, QuotaBucket> m_equal_parts;
+  std::map<std::string, TokenBucket> m_equal_parts;
   std::map<RequestId, std::string> m_open;
 };
 
@@ -74,7 +74,7 @@
   double m_per_second = 0;
   std::vector<size_t> m_vms;
   QuotaResult m_result;
-  std::optional<QuotaBucket> m_ideal;
+  std::optional<TokenBucket> m_ideal;
   std::deque<TimePoint> m_window;
   /// Bounds, the newest last.
   std::vector<Bound> m_bounds;
@@ -188,8 +188,8 @@
   for (auto& [name, client] : m_clients) {
     const Organisation& organisation = client->m_organisation;
     client->m_ideal.emplace(
-        QuotaPart{organisation.m_rate_per_second,
-                  std::max(1.0, organisation.m_burst), organisation.m_burst},
+        QuotaShare{organisation.m_rate_per_second,
+                   std::max(1.0, organisation.m_burst), organisation.m_burst},
         m_queue.Now());
     ArriveNext(name);
   }
@@ -337,7 +337,7 @@
   } else if (const auto* ask = std::get_if<AskForTokens>(&action)) {
     for (size_t other = 0; other < m_vms.size(); ++other) {
       if (NameOfVm(other) == ask->m_question.m_keeper) {
-        Carry(vm, other, ask->m_question.m_ask);
+        Carry(vm, other, ask->m_question.m_quota_request);
       }
     }
   }
@@ -368,7 +368,7 @@
 
 void QuotaWorld::Deliver(size_t from, size_t to, const QuotaMessage& message) {
   Steering& steering = *m_vms[to]->m_steering;
-  if (const auto* ask = std::get_if<QuotaAsk>(&message)) {
+  if (const auto* ask = std::get_if<QuotaRequest>(&message)) {
     Carry(to, from, steering.AnswerQuotaAsk(*ask, m_queue.Now()));
   } else {
     steering.TakeQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
@@ -394,7 +394,7 @@
   }
   ++client.m_result.m_asked;
   const Organisation& organisation = client.m_organisation;
-  client.m_ideal->SetPart(
+  client.m_ideal->SetShare(
       {organisation.m_rate_per_second, std::max(1.0, organisation.m_burst), 0},
       m_queue.Now());
   client.m_result.m_owed += client.m_ideal->Take(1, m_queue.Now());
@@ -410,15 +410,15 @@
 }
 
 bool QuotaWorld::PassesEqualPart(size_t vm, const Client& client) {
-  QuotaPart part =
-      PartOfKeeper(TermsOf(client.m_organisation), kBounds, m_vms.size());
-  part.m_first = 0;
+  QuotaShare part =
+      KeeperShare(TermsOf(client.m_organisation), kBounds, m_vms.size());
+  part.m_initial = 0;
   const auto it =
       m_vms[vm]
           ->m_equal_parts
           .try_emplace(client.m_organisation.m_name, part, m_queue.Now())
           .first;
-  it->second.SetPart(part, m_queue.Now());
+  it->second.SetShare(part, m_queue.Now());
   return it->second.Take(1, m_queue.Now()) > 0;
 }
 
--- a/trial/quota_world.h
+++ b/trial/quota_world.h
@@ -14,8 +14,8 @@
 
 #include "proxy/quota_exchange.h"
 #include "steer/organisation_type.h"
-#include "steer/quota_bucket.h"
 #include "steer/steering.h"
+#include "steer/token_bucket.h"
 #include "trial/event_queue.h"
 
 namespace sorrelplank::trial {
