--- a/src/steer/region_latencies.h
+++ b/src/steer/region_latencies.h
@@ -40,7 +40,7 @@
   /// Latencies of one region, without waiting for a slot.
   struct Latencies {
     /// A mean rather than a median, since it includes slower requests on
-    /// objects that are not warm, which a waiting request may be.
+    /// objects that are not cached, which a waiting request may be.
     Duration m_mean{};
     /// Tenth percentile; its difference between regions is network latency.
     QuantileTrack m_shortest{0.1};
--- a/src/steer/region_shares.cc
+++ b/src/steer/region_shares.cc
@@ -14,7 +14,7 @@
 
 /// Running and waiting requests per slot of the own region above which objects
 /// move elsewhere: slots are full and queues form. Moved sooner, objects leave
-/// servers that are warm for them; under overload that cost a tenth of the
+/// servers that have cached them; under overload that cost a tenth of the
 /// value of the responses.
 constexpr double kHighUtilisation = 1.2;
 /// Below this they move back; the gap prevents oscillation.
--- a/src/steer/region_shares.h
+++ b/src/steer/region_shares.h
@@ -35,7 +35,7 @@
 /// Load pattern: the callers of one region need more slots than it has while
 /// another region has spare capacity. Sending each request without a free slot
 /// elsewhere would move a large share of a region's requests at once, and
-/// spread every object over servers that are not warm for it. Instead whole
+/// spread every object over servers that have not cached it. Instead whole
 /// objects move, by weighted rendezvous hashing over the shares, and the shares
 /// change at a bounded rate. All objects move at once only if no server of a
 /// region is reachable.
--- a/tests/organisation_test.cc
+++ b/tests/organisation_test.cc
@@ -138,8 +138,7 @@
   }
 }
 
-Test(Organisations,
-     RouteAndOrganisationWithDisjointHomeRegions_Request_IsRefused) {
+Test(Organisations, RouteAndOrganisationInOtherRegions_Request_IsRefused) {
   g_fixture->PutServer("far", "d3");
   g_fixture->Pass(seconds(3));
   RouteRule route = MakeRoute("/read/", true);
--- a/tests/region_shares_test.cc
+++ b/tests/region_shares_test.cc
@@ -81,7 +81,7 @@
 
 // The own region is suddenly overloaded while other regions have spare
 // capacity. Objects move there, but no two seconds move more than 0.15 of them,
-// since the servers there are not warm for a moved object.
+// since the servers there have not cached a moved object.
 Test(RegionShares, Overload_CapacityElsewhere_MovesWithinTheBound) {
   const auto before = g_fixture->RegionsOfObjects();
   g_fixture->Run(Loads(2, 0.2, 0.1), seconds(2));
--- a/tests/region_shift_test.cc
+++ b/tests/region_shift_test.cc
@@ -91,11 +91,11 @@
 // objects, is not full, and takes the others back. If each of the two other
 // regions gives back at full speed, shares move at twice the allowed speed: a
 // quarter of the requests ran in another region than two seconds before, at
-// servers that were not warm, without any failure. One service at one VM moved
-// 0.05 in half a second instead of in one second: at 0.9478 s, 1.5628 s, 2.0746
-// s and 2.5858 s its own_region_share was 0.38, 0.43, 0.48 and 0.53, with
-// own_load 0.69, 0.60, 0.61, 0.64 and least_load_elsewhere 0.43, 0.57, 0.59,
-// 0.58.
+// servers that had not cached the objects, without any failure. One service at
+// one VM moved 0.05 in half a second instead of in one second: at 0.9478 s,
+// 1.5628 s, 2.0746 s and 2.5858 s its own_region_share was 0.38, 0.43, 0.48
+// and 0.53, with own_load 0.69, 0.60, 0.61, 0.64 and least_load_elsewhere 0.43,
+// 0.57, 0.59, 0.58.
 Test(RegionShift, OwnRegionNotFull_TwoRegionsGiveBack_StaysWithinTheBound) {
   const double shift =
       g_fixture->LargestShift(ShiftFixture::Loads(0.62, 0.57, 0.58), 6);
@@ -106,8 +106,7 @@
 // The own region is full, one other region is fuller still and one has spare
 // capacity: objects move back from the former and away to the latter at the
 // same time.
-Test(RegionShift,
-     OwnRegionFull_OneRegionGivesBackOneTakes_StaysWithinTheBound) {
+Test(RegionShift, OwnRegionFull_OneGivesBackOneTakes_StaysWithinTheBound) {
   g_fixture->LargestShift(ShiftFixture::Loads(1.5, 0.4, 2), 4);
   const double shift =
       g_fixture->LargestShift(ShiftFixture::Loads(1.5, 2, 0.4), 6);
--- a/tests/retry_budget_share_test.cc
+++ b/tests/retry_budget_share_test.cc
@@ -36,8 +36,7 @@
 
 // In any ten seconds, retries stay within the ratio to the requests of about
 // that time.
-Test(RetryBudgetShare,
-     SteadyRequests_EveryAttemptFails_RetriesStayWithinTheRatio) {
+Test(RetryBudgetShare, SteadyRequests_EveryAttemptFails_StaysWithinTheRatio) {
   RetryBudgetShare budget(kWindow);
   int spent = 0;
   for (int step = 0; step < 3000; ++step) {
