--- a/tests/organisation_test.cc
+++ b/tests/organisation_test.cc
@@ -71,7 +71,7 @@
 
 // Keys are not checked on a public route, so they identify no organisation
 // there and must not be forwarded.
-Test(Organisations, PublicRoute_RequestWithKey_HidesTheKey) {
+Test(Organisations, PublicRoute_RequestWithKey_StripsTheKey) {
   g_fixture->ArriveWithKey("/open/x", "k-acme");
   cr_assert(g_fixture->Last<SendToServer>()->m_keeps_key);
 }
