--- a/src/proxy/quota_exchange.cc
+++ b/src/proxy/quota_exchange.cc
@@ -15,7 +15,7 @@
 /// Plausibility limit: entry VMs never request or grant more at once.
 constexpr uint32_t kMaxTokensPerRequest = 100'000;
 
-void Fill(const QuotaAsk& request, proto::QuotaMessage& message) {
+void Fill(const QuotaRequest& request, proto::QuotaMessage& message) {
   proto::QuotaQuestion& question = *message.mutable_question();
   question.set_subject(request.m_subject.Get());
   question.set_number(request.m_number);
@@ -59,10 +59,10 @@
         !std::isfinite(per_second) || per_second < 0) {
       return std::nullopt;
     }
-    QuotaAsk request{.m_subject = QuotaSubject(question.subject()),
-                     .m_number = question.number(),
-                     .m_tokens = question.tokens(),
-                     .m_limit = std::nullopt};
+    QuotaRequest request{.m_subject = QuotaSubject(question.subject()),
+                         .m_number = question.number(),
+                         .m_tokens = question.tokens(),
+                         .m_limit = std::nullopt};
     if (question.has_limit()) {
       request.m_limit =
           NamedLimit{per_second, milliseconds(question.limit().age_ms())};
@@ -104,10 +104,11 @@
   }
 }
 
-void QuotaExchange::SendRequest(const QuotaQuestion& question) {
+void QuotaExchange::SendRequest(const AddressedQuotaRequest& question) {
   const auto address = m_addresses.find(question.m_keeper);
   if (address != m_addresses.end()) {
-    m_socket.Send(EncodeQuotaMessage(question.m_ask), address->second);
+    m_socket.Send(EncodeQuotaMessage(question.m_quota_request),
+                  address->second);
   }
 }
 
@@ -118,7 +119,7 @@
   if (!message) {
     return false;
   }
-  if (const auto* request = std::get_if<QuotaAsk>(&*message)) {
+  if (const auto* request = std::get_if<QuotaRequest>(&*message)) {
     m_socket.Send(EncodeQuotaMessage(m_request_handler(*request)), sender);
   } else {
     m_grant_handler(std::get<QuotaGrant>(*message));
--- a/src/proxy/quota_exchange.h
+++ b/src/proxy/quota_exchange.h
@@ -18,7 +18,7 @@
 
 namespace sorrelplank {
 
-using QuotaMessage = std::variant<QuotaAsk, QuotaGrant>;
+using QuotaMessage = std::variant<QuotaRequest, QuotaGrant>;
 
 /// Serialises a message into a datagram.
 std::string EncodeQuotaMessage(const QuotaMessage& message);
@@ -32,7 +32,7 @@
 /// grant go unused.
 class QuotaExchange {
  public:
-  using RequestHandler = std::function<QuotaGrant(const QuotaAsk&)>;
+  using RequestHandler = std::function<QuotaGrant(const QuotaRequest&)>;
   using GrantHandler = std::function<void(const QuotaGrant&)>;
 
   /// Binds the socket and starts receiving; throws std::system_error on
@@ -46,7 +46,7 @@
   /// this VM.
   void SetFleet(const std::vector<FleetMember>& fleet);
   /// Sends the request to its keeper; drops it if the keeper is unknown.
-  void SendRequest(const QuotaQuestion& question);
+  void SendRequest(const AddressedQuotaRequest& question);
 
   const DatagramSocket& Socket() const { return m_socket; }
 
--- a/src/proxy/request_proxy.h
+++ b/src/proxy/request_proxy.h
@@ -47,7 +47,7 @@
   }
 
   /// Sends a quota request to its keeper.
-  using QuotaRequestSender = std::function<void(const QuotaQuestion&)>;
+  using QuotaRequestSender = std::function<void(const AddressedQuotaRequest&)>;
   void SetQuotaRequestSender(QuotaRequestSender sender) {
     m_send_quota_request = std::move(sender);
   }
@@ -107,7 +107,7 @@
   ServerPool m_pool;
   Steering m_steering;
   CrashUpdateHandler m_on_crash_update = [](const CrashUpdate&) {};
-  QuotaRequestSender m_send_quota_request = [](const QuotaQuestion&) {};
+  QuotaRequestSender m_send_quota_request = [](const AddressedQuotaRequest&) {};
   uint64_t m_next_request = 1;
   SeenResponseFields m_response_fields;
   bool m_is_stopping = false;
--- a/src/steer/server_picker.cc
+++ b/src/steer/server_picker.cc
@@ -47,11 +47,12 @@
   if (server.Notices().IsPaused(now)) {
     return true;
   }
-  if (criteria.m_limits == nullptr || !server.Notices().MostPerSecond()) {
+  if (criteria.m_limits == nullptr || !server.Notices().MaxPerSecond()) {
     return false;
   }
-  const bool is_left_out = !criteria.m_allows_remote_limited &&
-                           criteria.m_limits->IsLeftToItsRegion(server, now);
+  const bool is_left_out =
+      !criteria.m_allows_remote_limited &&
+      criteria.m_limits->IsReservedForItsRegion(server, now);
   return is_left_out || !criteria.m_limits->MayTry(server, now);
 }
 
@@ -130,7 +131,7 @@
     if (!IsUsable(*server) || WasTried(criteria, entry.m_instance)) {
       continue;
     }
-    const double load = criteria.m_keeps_objects_together
+    const double load = criteria.m_has_object_affinity
                             ? 0
                             : server->Occupancy(now) / entry.m_slots;
     const bool is_avoided = ShouldAvoid(*server, criteria, now);
@@ -154,7 +155,7 @@
                           const ServiceRules& rules,
                           const PickCriteria& criteria,
                           TimePoint now) const {
-  if (criteria.m_keeps_objects_together) {
+  if (criteria.m_has_object_affinity) {
     const auto choice = PickAmongTop(servers, rules, criteria, now);
     if (choice) {
       return *choice;
@@ -190,7 +191,7 @@
                                  size_t& considered,
                                  TimePoint now) const {
   const size_t choices =
-      criteria.m_keeps_objects_together ? kCandidatesPerObject : ranked.size();
+      criteria.m_has_object_affinity ? kCandidatesPerObject : ranked.size();
   Choice best;
   double fastest_time = 0;
   double fastest_free_time = 0;
@@ -217,8 +218,7 @@
     // there sent the object to the second server on any wait. Value of the
     // responses to their callers under overload, relative to the maximum: 0.714
     // with that assumption, 0.731 without.
-    const bool is_warm = !criteria.m_keeps_objects_together ||
-                         considered == 1 ||
+    const bool is_warm = !criteria.m_has_object_affinity || considered == 1 ||
                          server->IsWarmFor(criteria.m_object, now);
     const double time = wait + (is_warm ? 1 : ServerState::kCacheMissFactor);
     if (best.m_fastest == nullptr || time < fastest_time) {
--- a/src/steer/server_state.cc
+++ b/src/steer/server_state.cc
@@ -210,7 +210,7 @@
 }
 
 double ServerState::OccupancyLimit(TimePoint now,
-                                   const UsualService& usual) const {
+                                   const ServiceBaseline& usual) const {
   if (now < m_full_until) {
     return 0;
   }
@@ -220,7 +220,7 @@
   return m_entry.m_slots + kExtraInFlight;
 }
 
-bool ServerState::IsEjected(TimePoint now, const UsualService& usual) const {
+bool ServerState::IsEjected(TimePoint now, const ServiceBaseline& usual) const {
   if (now < m_ejected_until) {
     return true;
   }
@@ -232,7 +232,7 @@
              std::max(kStallTimeout, kStallLatencyFactor * usual.m_latency);
 }
 
-bool ServerState::IsDegraded(const UsualService& usual) const {
+bool ServerState::IsDegraded(const ServiceBaseline& usual) const {
   if (m_rejections > kDegradedFraction + 2 * usual.m_rejections ||
       m_failures > kDegradedFraction) {
     return true;
--- a/src/steer/server_state.h
+++ b/src/steer/server_state.h
@@ -15,7 +15,7 @@
 #include "steer/server_entry_type.h"
 #include "steer/server_load_type.h"
 #include "steer/server_notices.h"
-#include "steer/usual_service_type.h"
+#include "steer/service_baseline_type.h"
 
 namespace sorrelplank {
 
@@ -58,16 +58,16 @@
   /// VMs, by its own reports; no value without a recent report.
   std::optional<double> RecentLoad(TimePoint now) const;
   /// Maximum number of requests that it should have in flight.
-  double OccupancyLimit(TimePoint now, const UsualService& usual) const;
+  double OccupancyLimit(TimePoint now, const ServiceBaseline& usual) const;
   /// Whether it should get no requests now because it fails or has stopped
   /// answering.
-  bool IsEjected(TimePoint now, const UsualService& usual) const;
+  bool IsEjected(TimePoint now, const ServiceBaseline& usual) const;
   /// Another instance answers at its address: this one is gone.
   void MarkGone() { m_is_gone = true; }
   bool IsGone() const { return m_is_gone; }
   /// Whether it is much slower than usual, or rejects or fails a large fraction
   /// of requests.
-  bool IsDegraded(const UsualService& usual) const;
+  bool IsDegraded(const ServiceBaseline& usual) const;
 
   bool IsCold(TimePoint now) const { return now < m_cold_until; }
   /// Treats the server as cold for at least the given time from now.
--- a/src/steer/steer_action_type.h
+++ b/src/steer/steer_action_type.h
@@ -13,7 +13,7 @@
 #include "core/time_type.h"
 #include "core/vm_record_type.h"
 #include "steer/admission.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 #include "steer/quota_message_type.h"
 #include "steer/steer_refusal_type.h"
 
@@ -135,7 +135,7 @@
 
 /// These crash facts no longer count; to be reported to the other VMs.
 struct CrashesForgotten {
-  std::vector<CrashFact> m_facts;
+  std::vector<CrashRecord> m_facts;
   /// "answered" or "expired".
   const char* m_reason = "";
 };
@@ -143,7 +143,7 @@
 /// Ask another entry VM for tokens of a quota; the answer is passed to
 /// ApplyQuotaGrant.
 struct AskForTokens {
-  QuotaQuestion m_question;
+  AddressedQuotaRequest m_question;
 };
 
 using SteerAction = std::variant<SendToServer,
--- a/src/steer/steered_service.cc
+++ b/src/steer/steered_service.cc
@@ -84,13 +84,13 @@
                                    TimePoint now) const {
   QueueState queue;
   if (server == nullptr) {
-    queue.m_usual_latency = m_times.Usual(m_own_region);
+    queue.m_usual_latency = m_times.Mean(m_own_region);
     return queue;
   }
-  queue.m_usual_latency = m_times.Usual(server->Region());
+  queue.m_usual_latency = m_times.Mean(server->Region());
   queue.m_ahead = server->Waiting();
   const double work_s =
-      std::max(kMinWorkMs, ToMilliseconds(m_times.Work(server->Region()))) /
+      std::max(kMinWorkMs, ToMilliseconds(m_times.SlotTime(server->Region()))) /
       1000;
   // Freed slots go to whichever VM sends first; this VM expects its fraction of
   // the requests in flight.
--- a/src/steer/steered_service.h
+++ b/src/steer/steered_service.h
@@ -14,10 +14,10 @@
 #include "core/ids_type.h"
 #include "core/time_type.h"
 #include "steer/admission.h"
+#include "steer/region_latencies.h"
 #include "steer/region_servers.h"
 #include "steer/region_shares.h"
-#include "steer/region_times.h"
-#include "steer/retry_allowance.h"
+#include "steer/retry_budget_share.h"
 #include "steer/server_state.h"
 
 namespace sorrelplank {
@@ -45,7 +45,7 @@
 
   /// Records the outcome of an attempt.
   void CountEnd(const ServerState& server, const AttemptReport& report);
-  UsualService Usual() const { return {m_latency.Get(), m_rejections}; }
+  ServiceBaseline Usual() const { return {m_latency.Get(), m_rejections}; }
   /// State of the queue for a server; of an empty one if the server is nullptr.
   QueueState QueueAt(const ServerState* server, TimePoint now) const;
 
@@ -65,7 +65,7 @@
   /// The own region's share if it has changed significantly since this method
   /// last returned it.
   std::optional<double> ShareToLog();
-  RetryAllowance& Retries() { return m_retries; }
+  RetryBudgetShare& Retries() { return m_retries; }
   /// Waiting requests in the order in which they are served.
   std::list<RequestId>& Waiting() { return m_waiting; }
 
@@ -75,11 +75,11 @@
   std::map<std::string, std::shared_ptr<ServerState>> m_servers;
   RegionShares m_shares;
   double m_logged_share = 1;
-  RetryAllowance m_retries;
+  RetryBudgetShare m_retries;
   std::optional<TimePoint> m_last_request;
   std::list<RequestId> m_waiting;
   QuantileEstimator m_latency{0.5};
-  RegionTimes m_times;
+  RegionLatencies m_times;
   double m_rejections = 0;
 };
 
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -146,7 +146,7 @@
     // than that.
     request.m_awaits_table = true;
     request.m_deadline =
-        now + std::min<Duration>(request.m_facts.m_time_left, kMostHeld);
+        now + std::min<Duration>(request.m_facts.m_time_left, kMaxHoldTime);
     m_awaiting_table.push_back(id);
     return;
   }
@@ -194,7 +194,7 @@
   const Duration time =
       std::min(request.m_facts.m_time_left, request.m_route->m_timeout);
   request.m_deadline = request.m_arrived + time;
-  if (m_crashes.IsHeld(request.m_facts.m_digest, now)) {
+  if (m_crashes.IsHeldBack(request.m_facts.m_digest, now)) {
     // A request that is retried endlessly would crash one server after the
     // other, each with the requests of other callers that run there.
     Refuse(request, SteerRefusal::kHeldBack, now);
@@ -221,7 +221,7 @@
     return nullptr;
   }
   criteria.m_object = request.m_facts.m_object;
-  criteria.m_keeps_objects_together = request.m_route->m_keeps_objects_together;
+  criteria.m_has_object_affinity = request.m_route->m_has_object_affinity;
   criteria.m_tried = &request.m_tried;
   criteria.m_usual = service.Usual();
   criteria.m_limits = &m_server_limits;
@@ -264,8 +264,8 @@
     }
   }
   const double max_skew = m_settings.m_max_shift * kServiceSkewFraction;
-  return {.m_least = most_away - max_skew,
-          .m_most = std::max(0.0, least_away) + max_skew};
+  return {.m_min = most_away - max_skew,
+          .m_max = std::max(0.0, least_away) + max_skew};
 }
 
 void Steering::UpdateShares(TimePoint now) {
--- a/src/steer/steering.h
+++ b/src/steer/steering.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "steer/attempt_report_type.h"
-#include "steer/crash_fact_type.h"
+#include "steer/crash_record_type.h"
 #include "steer/crash_register.h"
 #include "steer/notice_archive.h"
 #include "steer/organisation_index.h"
@@ -94,10 +94,10 @@
                      TimePoint now);
   /// Applies another VM's report that a server crashed under a request; `age`
   /// is the time since the crash.
-  void ApplyPeerCrash(const CrashFact& fact, Duration age, TimePoint now);
+  void ApplyPeerCrash(const CrashRecord& fact, Duration age, TimePoint now);
   /// Drops a crash fact because another VM saw the request answered, or an
   /// operator released it.
-  void DropCrash(const CrashFact& fact, TimePoint now);
+  void DropCrash(const CrashRecord& fact, TimePoint now);
   const CrashRegister& Crashes() const { return m_crashes; }
 
   // Quotas of organisations.
@@ -108,7 +108,7 @@
     m_server_limits.SetMayBeReplaced(may_be);
   }
   /// Answers another entry VM that asks this one as a keeper.
-  QuotaGrant AnswerQuotaAsk(const QuotaAsk& ask, TimePoint now);
+  QuotaGrant AnswerQuotaAsk(const QuotaRequest& ask, TimePoint now);
   /// Answer to an AskForTokens action.
   void ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now);
 
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -1,4 +1,4 @@
-/// @file steering_ends.cc Ends of requests and of their attempts.
+/// @file steering_ends.cc CrashCount of requests and of their attempts.
 
 #include <algorithm>
 #include <optional>
@@ -26,7 +26,7 @@
   refusal.m_waited = now - request.m_arrived;
   refusal.m_table_version = m_table ? m_table->m_version : 0;
   refusal.m_sends = static_cast<uint32_t>(request.m_tried.size());
-  refusal.m_ends = m_crashes.Ends(request.m_facts.m_digest, now);
+  refusal.m_ends = m_crashes.CrashCount(request.m_facts.m_digest, now);
   refusal.m_organisation = NameOf(request.m_organisation);
   if (!request.m_service.empty()) {
     SteeredService& service = Service(request.m_service);
@@ -42,12 +42,13 @@
     }
   }
   if (reason == SteerRefusal::kHeldBack) {
-    refusal.m_retry_after = m_crashes.HeldFor(request.m_facts.m_digest, now);
+    refusal.m_retry_after =
+        m_crashes.HeldBackTimeLeft(request.m_facts.m_digest, now);
   }
   const bool lacks_token = reason == SteerRefusal::kOverQuota ||
                            reason == SteerRefusal::kQuotaOutOfReach;
   if (lacks_token) {
-    refusal.m_retry_after = Jitter(m_quota_gate.ComeBackAfter(HashOrganisation(
+    refusal.m_retry_after = Jitter(m_quota_gate.RetryAfter(HashOrganisation(
                                        request.m_organisation->m_name)),
                                    refusal.m_request.Get());
   }
@@ -76,7 +77,7 @@
     if (m_picker.IsUsable(*server)) {
       const Duration left =
           std::max<Duration>(server->Notices().PausedUntil() - now,
-                             m_server_limits.WaitFor(*server, now));
+                             m_server_limits.TimeUntilToken(*server, now));
       first = std::min(left, first.value_or(left));
     }
   }
@@ -128,7 +129,7 @@
 void Steering::CountEnd(ServerState& server,
                         const AttemptReport& report,
                         TimePoint now) {
-  const UsualService usual = Service(server.Entry().m_service).Usual();
+  const ServiceBaseline usual = Service(server.Entry().m_service).Usual();
   const uint32_t failures = server.FailuresInRow();
   const ServerNotices notices = server.Notices();
   server.CountEnd(report, now);
@@ -156,10 +157,10 @@
                             TimePoint now) {
   const std::string& instance = server.Entry().m_instance;
   const ServerNotices& after = server.Notices();
-  if (after.MostPerSecond() != before.MostPerSecond()) {
-    m_sink(StateChanged{
-        after.MostPerSecond() ? "server_limit" : "server_unlimited", instance,
-        after.MostPerSecond().value_or(0)});
+  if (after.MaxPerSecond() != before.MaxPerSecond()) {
+    m_sink(
+        StateChanged{after.MaxPerSecond() ? "server_limit" : "server_unlimited",
+                     instance, after.MaxPerSecond().value_or(0)});
   }
   if (after.IsLeaving() && !before.IsLeaving()) {
     m_sink(StateChanged{"server_says_leaving", instance, 1});
@@ -186,7 +187,7 @@
   const std::string& domain = server.Entry().m_failure_domain;
   DomainBreaker& breaker = m_picker.Breaker(domain);
   if (end == AttemptEnd::kNotSent) {
-    if (breaker.CountUnreached(server.Entry().m_instance, now)) {
+    if (breaker.CountConnectFailure(server.Entry().m_instance, now)) {
       m_sink(StateChanged{"domain_out_of_reach", domain, 0});
       UpdateShares(now);
     }
@@ -194,7 +195,7 @@
   }
   // A lost request may have been written to a broken link, so it does not prove
   // that the domain is reachable.
-  if (end != AttemptEnd::kLost && breaker.CountReached()) {
+  if (end != AttemptEnd::kLost && breaker.CountConnectSuccess()) {
     m_sink(StateChanged{"domain_within_reach", domain, 0});
   }
 }
--- a/src/steer/steering_requests.cc
+++ b/src/steer/steering_requests.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "steer/kept_connections_func.h"
+#include "steer/idle_connections_func.h"
 #include "steer/steering.h"
 
 namespace sorrelplank {
@@ -106,7 +106,7 @@
   if (request.m_is_retry_charged) {
     return true;
   }
-  if (request.m_started_sends >= request.m_route->m_most_sends ||
+  if (request.m_started_sends >= request.m_route->m_max_sends ||
       request.m_tried.size() >= kMaxTriedServers) {
     return false;
   }
@@ -151,7 +151,7 @@
   if (rate_limit && !server->TryTakeRate(*rate_limit, now)) {
     return false;
   }
-  if (server->Notices().MostPerSecond()) {
+  if (server->Notices().MaxPerSecond()) {
     return TakeServerToken(request, server, now);
   }
   Send(request, server, now);
@@ -173,8 +173,8 @@
       {attempt, m_servers.at(entry.m_instance), now});
   request.m_tried.push_back(entry.m_instance);
   ++request.m_started_sends;
-  const size_t most_kept = MostKeptConnections(
-      RulesOf(entry.m_service).m_most_connections, m_picker.Fleet().size());
+  const size_t most_kept = MaxIdleConnections(
+      RulesOf(entry.m_service).m_max_connections, m_picker.Fleet().size());
   m_sink(
       SendToServer{.m_request = request.m_facts.m_request,
                    .m_attempt = attempt,
@@ -341,7 +341,7 @@
   }
   ServerState* const server = Choose(request, now).m_fastest_free;
   // A hedge is not worth a token that another request could be sent with.
-  if (server != nullptr && !server->Notices().MostPerSecond()) {
+  if (server != nullptr && !server->Notices().MaxPerSecond()) {
     TrySend(request, server, now);
   }
 }
--- a/tests/crash_record_writer_test.cc
+++ b/tests/crash_record_writer_test.cc
@@ -110,7 +110,7 @@
 }
 
 Test(CrashRecordWriter, KeyAndValue_EncodedAndDecoded_AreTheSame) {
-  const CrashFact fact{kDigest, "i-1@1700000000000"};
+  const CrashRecord fact{kDigest, "i-1@1700000000000"};
   cr_assert(DecodeCrashKey(CrashKey(fact)) == fact);
   const std::string value =
       EncodeStoredCrash({{fact, "s", "h", std::string(500, 'x') + "\xff"},
