--- a/src/config/config_build.cc
+++ b/src/config/config_build.cc
@@ -146,7 +146,7 @@
                milliseconds(Read<int64_t>(entry, "services", "deadline_ms")),
            .m_retry_budget =
                Read<double>(entry, "services", "retry_budget_percent") / 100,
-           .m_body_limit =
+           .m_body_limit_bytes =
                Read<uint32_t>(entry, "services", "body_limit_bytes"),
            .m_queue_limit = Read<uint32_t>(entry, "services", "queue_limit"),
            .m_expected_run = milliseconds(
--- a/src/core/action_type.h
+++ b/src/core/action_type.h
@@ -1,4 +1,5 @@
-/// @file action_type.h What the decision core wants done.
+/// @file action_type.h Actions that the decision core asks the process to carry
+/// out.
 
 #ifndef SORRELPLANK_CORE_ACTION_TYPE_H_
 #define SORRELPLANK_CORE_ACTION_TYPE_H_
@@ -17,7 +18,7 @@
 
 namespace sorrelplank {
 
-/// Send the request to a backend server.
+/// Sends the request to a backend server.
 struct DispatchToBackend {
   RequestId m_request;
   AttemptId m_attempt;
@@ -26,7 +27,8 @@
   bool m_idempotent = false;
 };
 
-/// Hand the request on to another entry VM.
+/// Forwards the request to another entry VM ("hands it on" in wire and metric
+/// names).
 struct HandOnToVm {
   RequestId m_request;
   AttemptId m_attempt;
@@ -37,41 +39,41 @@
   Duration m_time_left{};
 };
 
-/// Abort a try; no end of it need be reported.
+/// Aborts an attempt. The process need not report how it ended.
 struct CancelAttempt {
   AttemptId m_attempt;
 };
 
-/// Give the answer that the try brought to the caller.
+/// Sends the answer of the attempt to the caller.
 struct ForwardAnswer {
   RequestId m_request;
   AttemptId m_attempt;
 };
 
-/// Give the caller the answer that an earlier request with its key got.
+/// Sends the caller the answer of an earlier request with the same key.
 struct ReplayAnswer {
   RequestId m_request;
   RequestId m_original;
 };
 
-/// Give the caller the answer that another entry VM kept for its key.
+/// Sends the caller the answer that another entry VM kept for the key.
 struct ReplayPeerAnswer {
   RequestId m_request;
   VmName m_vm;
 };
 
-/// Tell the caller, or the entry VM that handed it on, that we give up.
+/// Refuses the request, to the caller or to the entry VM that forwarded it.
 struct RefuseCall {
   RequestId m_request;
   RefusalReason m_reason = RefusalReason::kNoCapacity;
   Verdict m_verdict = Verdict::kNotRun;
   Duration m_retry_after{};
-  /// For an entry VM that handed on: what is free here now.
+  /// Slots free here now, for an entry VM that forwarded the request.
   ServiceSlots m_slots;
 };
 
-/// Ask another entry VM whether it saw a key.
-struct AskSeen {
+/// Asks another entry VM for the state of a key there.
+struct QueryKeyState {
   RequestId m_request;
   VmName m_vm;
   VmAddress m_address;
@@ -80,37 +82,37 @@
   uint32_t m_send = 0;
 };
 
-/// Send heartbeats to another entry VM.
+/// Sends VM records (heartbeats) to another entry VM.
 struct SendGossip {
   VmName m_vm;
   VmAddress m_address;
   std::vector<VmRecord> m_records;
-  /// The answer shall hold everything known: we have just started.
+  /// Asks for every known record in the answer; set shortly after start.
   bool m_wants_all = false;
 };
 
-/// Tell an entry VM of our region that a slot is free here now, or that a
+/// Tells an entry VM of the own region that a slot is free here now, or that a
 /// request waits here for one.
 struct SendSlotNotice {
   VmName m_vm;
   VmAddress m_address;
   ServiceSlots m_slots;
-  bool m_wants = false;
+  bool m_is_slot_request = false;
 };
 
-/// Another VM runs a newer configuration; fetch it from there.
+/// Fetches the newer configuration that another VM runs from that VM.
 struct FetchConfig {
   VmName m_vm;
   VmAddress m_address;
   ConfigVersion m_version;
 };
 
-/// Put an event on the time line.
+/// Adds an event to the timeline.
 struct RecordEvent {
   TimelineEvent m_event;
 };
 
-/// Everything is finished; the process may exit.
+/// Nothing is left in flight; the process may exit.
 struct ExitProcess {};
 
 using Action = std::variant<DispatchToBackend,
@@ -120,7 +122,7 @@
                             ReplayAnswer,
                             ReplayPeerAnswer,
                             RefuseCall,
-                            AskSeen,
+                            QueryKeyState,
                             SendGossip,
                             SendSlotNotice,
                             FetchConfig,
--- a/src/core/attempt_outcome.cc
+++ b/src/core/attempt_outcome.cc
@@ -1,4 +1,4 @@
-/// @file attempt_outcome.cc Look-up in the outcome table.
+/// @file attempt_outcome.cc Lookup in the outcome table and verdict names.
 
 #include "core/attempt_outcome_type.h"
 
--- a/src/core/attempt_outcome_type.h
+++ b/src/core/attempt_outcome_type.h
@@ -1,4 +1,4 @@
-/// @file attempt_outcome_type.h How one try of a request ended.
+/// @file attempt_outcome_type.h Outcomes of one attempt of a request.
 
 #ifndef SORRELPLANK_CORE_ATTEMPT_OUTCOME_TYPE_H_
 #define SORRELPLANK_CORE_ATTEMPT_OUTCOME_TYPE_H_
@@ -9,38 +9,39 @@
 
 namespace sorrelplank {
 
-/// Every way in which a try at a backend server or a peer can end.
-/// Order is that of table/outcome_table.h.
+/// Every way in which an attempt at a backend server or another entry VM (peer)
+/// can end. In the order of table/outcome_table.h.
 enum class AttemptOutcome : uint8_t {
-  kAnswered,             ///< A whole answer of the backend server arrived.
+  kAnswered,             ///< The backend server sent a complete answer.
   kShed,                 ///< The backend server refused before running it.
-  kConnectFailed,        ///< No connection, hence no byte left us.
+  kConnectFailed,        ///< No connection, so no byte was sent.
   kNothingSent,          ///< Connected, but failed before the first byte.
   kSentPartly,           ///< The connection broke while sending.
-  kNoAnswer,             ///< Sent, then the connection ended without an answer.
-  kAnswerTruncated,      ///< The answer began and did not end.
-  kAnswerMalformed,      ///< Bytes came back that are no answer.
+  kNoAnswer,             ///< Sent; the connection ended without an answer.
+  kAnswerTruncated,      ///< The connection ended in the middle of the answer.
+  kAnswerMalformed,      ///< The bytes received are not a valid answer.
   kDeadlineBeforeSend,   ///< The deadline passed before the first byte.
-  kDeadlineAfterSend,    ///< The deadline passed while waiting for the answer.
-  kCancelledBeforeSend,  ///< The caller left before the first byte.
-  kCancelledAfterSend,   ///< The caller left while we waited.
-  kPeerRefused,          ///< The peer said: not run.
-  kPeerUnsure,           ///< The peer said: may have run.
-  kPeerUnreachable,      ///< No connection to the peer, hence nothing sent.
-  kPeerLost,             ///< Sent to the peer, then the connection was lost.
+  kDeadlineAfterSend,    ///< The deadline passed while waiting for an answer.
+  kCancelledBeforeSend,  ///< The caller disconnected before the first byte.
+  kCancelledAfterSend,   ///< The caller disconnected while we waited.
+  kPeerRefused,          ///< The peer refused; the request did not run.
+  kPeerUnsure,           ///< The peer reported that it may have run.
+  kPeerUnreachable,      ///< No connection to the peer, so nothing was sent.
+  kPeerLost,             ///< Sent to the peer; then the connection was lost.
   kCount
 };
 
-/// What an outcome says about the request; one row of the outcome table.
+/// One row of the outcome table: what an outcome implies for the request.
 struct OutcomeRow {
   AttemptOutcome m_outcome;
   Verdict m_verdict;
-  /// Counts against the backend server or peer in its health.
+  /// Whether it counts as a failure in the health of the backend server or
+  /// peer.
   bool m_is_failure;
   const char* m_name;
 };
 
-/// The row of an outcome.
+/// Returns the row of an outcome.
 const OutcomeRow& DescribeOutcome(AttemptOutcome outcome);
 
 }  // namespace sorrelplank
--- a/src/core/backend_deal.cc
+++ b/src/core/backend_assignment.cc
@@ -1,11 +1,11 @@
-/// @file backend_deal.cc Even dealing by highest random weight.
+/// @file backend_assignment.cc Even assignment by highest random weight.
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <map>
 
-#include "core/backend_deal_func.h"
+#include "core/backend_assignment_func.h"
 
 namespace sorrelplank {
 
@@ -15,7 +15,7 @@
   return XXH3_64bits_withSeed(vm.data(), vm.size(), backend.Get());
 }
 
-/// VMs by falling weight for one backend server.
+/// Returns the VMs by descending weight for one backend server.
 std::vector<VmName> RankVms(NameHash backend, std::vector<VmName> vms) {
   std::sort(vms.begin(), vms.end(), [&](const VmName& a, const VmName& b) {
     const uint64_t weight_a = Weight(backend, a);
@@ -25,25 +25,26 @@
   return vms;
 }
 
-/// Deals the servers of one service.
-void DealOneService(std::vector<NameHash> backends,
-                    const std::vector<VmName>& vms,
-                    std::map<VmName, size_t>& total,
-                    std::unordered_map<NameHash, VmName>& deal) {
+/// Assigns the servers of one service.
+void AssignService(std::vector<NameHash> backends,
+                   const std::vector<VmName>& vms,
+                   std::map<VmName, size_t>& total,
+                   std::unordered_map<NameHash, VmName>& assignment) {
   std::sort(backends.begin(), backends.end());
   std::map<VmName, size_t> count;
   const size_t most = (backends.size() + vms.size() - 1) / vms.size();
   for (const NameHash backend : backends) {
     const std::vector<VmName> ranked = RankVms(backend, vms);
-    // Where the service's servers do not divide, the VM with fewer servers of
-    // all services goes first, so that the remainders do not pile up.
+    // If the servers of a service do not divide evenly, VMs with fewer servers
+    // over all services get the extra ones. Otherwise the remainders of all
+    // services could end up at the same VM.
     const auto chosen = std::min_element(
         ranked.begin(), ranked.end(), [&](const VmName& a, const VmName& b) {
           const bool full_a = count[a] >= most;
           const bool full_b = count[b] >= most;
           return full_a != full_b ? full_b : total[a] < total[b];
         });
-    deal[backend] = *chosen;
+    assignment[backend] = *chosen;
     ++count[*chosen];
     ++total[*chosen];
   }
@@ -51,13 +52,13 @@
 
 }  // namespace
 
-std::unordered_map<NameHash, VmName> DealBackends(
+std::unordered_map<NameHash, VmName> AssignBackends(
     const Snapshot& snapshot,
     PlaceId place,
     const std::vector<VmName>& vms) {
-  std::unordered_map<NameHash, VmName> deal;
+  std::unordered_map<NameHash, VmName> assignment;
   if (vms.empty()) {
-    return deal;
+    return assignment;
   }
   std::map<ServiceId, std::vector<NameHash>> by_service;
   for (const BackendServer& backend : snapshot.m_backends) {
@@ -67,9 +68,9 @@
   }
   std::map<VmName, size_t> total;
   for (auto& [service, backends] : by_service) {
-    DealOneService(std::move(backends), vms, total, deal);
+    AssignService(std::move(backends), vms, total, assignment);
   }
-  return deal;
+  return assignment;
 }
 
 }  // namespace sorrelplank
--- a/src/core/call_type.h
+++ b/src/core/call_type.h
@@ -1,4 +1,4 @@
-/// @file call_type.h A request on its way through the pipeline.
+/// @file call_type.h A request in the pipeline.
 
 #ifndef SORRELPLANK_CORE_CALL_TYPE_H_
 #define SORRELPLANK_CORE_CALL_TYPE_H_
@@ -14,44 +14,46 @@
 
 namespace sorrelplank {
 
-/// An entry VM that the caller sent the same key to before.
+/// An entry VM to which the caller already sent the same key.
 struct TriedVm {
   VmName m_name;
   Incarnation m_incarnation;
 };
 
-/// What a caller says of earlier sends of the same key.
-struct TriedNone {};      ///< This is the first.
-struct TriedUnstated {};  ///< Nothing; any entry VM may have seen it.
+/// What a caller states about earlier sends of the same key.
+struct TriedNone {};      ///< This is the first send.
+struct TriedUnstated {};  ///< Not stated; any entry VM may have seen the key.
 using TriedList = std::vector<TriedVm>;
 using Tried = std::variant<TriedUnstated, TriedNone, TriedList>;
 
-/// Which send of its key a request is: 1 for the first, 0 if unstated.
+/// Number of this send of the key: 1 for the first, 0 if the caller does not
+/// state it.
 uint32_t SendNumber(const Tried& tried);
 
-/// A request as it came in from a caller or from another entry VM.
+/// A request as received from a caller or from another entry VM.
 struct IncomingCall {
   RequestId m_request;
   NameHash m_service;
   uint32_t m_caller_ip = 0;
-  /// Set by the other entry VM, which already classified it.
+  /// Set by the entry VM that forwarded the request; it has classified it.
   std::optional<NameHash> m_home_place;
   bool m_handed_on = false;
-  /// By which entry VM.
+  /// The entry VM that forwarded it.
   VmName m_from;
-  /// Time that the caller gives; absent: the service's own deadline.
+  /// Time limit stated by the caller; if absent, the service's deadline
+  /// applies.
   std::optional<Duration> m_time_left;
   size_t m_body_size = 0;
-  /// Zero: no idempotency key.
+  /// Zero if there is no idempotency key.
   KeyHash m_key;
   Tried m_tried = TriedUnstated{};
 };
 
-/// Where a call stands.
+/// Processing stage of a call.
 enum class CallStage : uint8_t {
-  kAsking,   ///< Other entry VMs are asked about its key.
-  kWaiting,  ///< In the queue.
-  kRunning,  ///< At a backend server or handed on.
+  kQueryingPeers,  ///< Waits for other entry VMs to report on its key.
+  kWaiting,        ///< In the queue.
+  kRunning,        ///< At a backend server or at another entry VM.
 };
 
 /// A classified request.
@@ -59,7 +61,7 @@
   RequestId m_request;
   NameHash m_service;
   CallerId m_caller;
-  /// The caller's home; absent where no client block covers it.
+  /// Home place of the caller; absent if no client block covers its address.
   std::optional<NameHash> m_home_place;
   TimePoint m_arrived{};
   TimePoint m_deadline{};
@@ -68,24 +70,25 @@
   VmName m_from;
   KeyHash m_key;
   Tried m_tried = TriedUnstated{};
-  /// Worst verdict of the tries so far. Stays: a second try that certainly did
-  /// not run does not undo a first one that may have.
+  /// Worst verdict of all attempts so far. It never improves: a second attempt
+  /// that certainly did not run says nothing about a first one that may have
+  /// run.
   Verdict m_verdict = Verdict::kNotRun;
   CallStage m_stage = CallStage::kRunning;
-  /// Answers still missing while asking.
-  uint32_t m_asks_open = 0;
-  /// The current try.
+  /// Key queries without an answer so far.
+  uint32_t m_pending_queries = 0;
+  /// The current attempt.
   AttemptId m_attempt;
   TimePoint m_attempt_started{};
-  /// Set while the try is at a backend server of ours.
+  /// Set while the attempt is at a backend server held here.
   std::optional<NameHash> m_backend;
-  /// Set while it is handed on.
+  /// Set while the request is forwarded to another entry VM.
   VmName m_peer;
-  /// Refused or failed there already.
+  /// Entry VMs and backend servers that refused it or failed before.
   std::vector<VmName> m_tried_peers;
   std::vector<NameHash> m_tried_backends;
-  uint32_t m_backend_tries = 0;
-  uint32_t m_peer_tries = 0;
+  uint32_t m_backend_attempts = 0;
+  uint32_t m_peer_attempts = 0;
 };
 
 }  // namespace sorrelplank
--- a/src/core/client_block_map.cc
+++ b/src/core/client_block_map.cc
@@ -13,18 +13,19 @@
 constexpr size_t kBucketCount = 65536;
 constexpr uint64_t kAddressSpace = uint64_t{1} << 32;
 
-/// Start of a flattened range; it ends where the next one starts.
+/// A flattened range; it ends where the next one starts.
 struct Range {
   uint64_t m_start;
   uint16_t m_place;
 };
 
-/// First address behind a block.
+/// First address after a block.
 uint64_t EndOf(const ClientBlock& block) {
   return uint64_t{block.m_address} + (uint64_t{1} << (32 - block.m_prefix));
 }
 
-/// Adds a range start, replacing one at the same address.
+/// Appends a range, or replaces the last one if it starts at the same address.
+/// Adjacent ranges of the same place are merged.
 void PushRange(std::vector<Range>& ranges, uint64_t start, uint16_t place) {
   if (!ranges.empty() && ranges.back().m_start == start) {
     ranges.back().m_place = place;
@@ -36,8 +37,8 @@
   ranges.push_back({start, place});
 }
 
-/// Disjoint ranges from nested blocks, by one sweep with a stack of the blocks
-/// that cover the current address.
+/// Turns nested blocks into disjoint ranges, in one sweep with a stack of the
+/// blocks that cover the current address.
 std::vector<Range> Flatten(std::vector<ClientBlock>& blocks,
                            uint16_t no_place) {
   std::sort(blocks.begin(), blocks.end(),
@@ -83,7 +84,8 @@
   for (size_t bucket = 0; bucket < kBucketCount; ++bucket) {
     m_buckets.push_back(static_cast<uint32_t>(m_starts.size()));
     const uint64_t low = uint64_t{bucket} << 16;
-    // Each bucket opens with a range at 0, so that a search never leaves it.
+    // Each bucket starts with a range at offset 0, so that a search never
+    // leaves its bucket.
     if (next == ranges.size() || ranges[next].m_start != low) {
       m_starts.push_back(0);
       m_places.push_back(current);
@@ -109,7 +111,7 @@
   const uint16_t low = static_cast<uint16_t>(address);
   const uint16_t* first = m_starts.data() + m_buckets[bucket];
   size_t count = m_buckets[bucket + 1] - m_buckets[bucket];
-  // The last start that is not above the address; branch-free halving.
+  // Branch-free binary search for the last start that is not above the address.
   while (count > 1) {
     const size_t half = count / 2;
     first += first[half] <= low ? half : 0;
--- a/src/core/event_type.h
+++ b/src/core/event_type.h
@@ -1,4 +1,4 @@
-/// @file event_type.h What the decision core is told.
+/// @file event_type.h Events that the decision core handles.
 
 #ifndef SORRELPLANK_CORE_EVENT_TYPE_H_
 #define SORRELPLANK_CORE_EVENT_TYPE_H_
@@ -16,7 +16,7 @@
 
 namespace sorrelplank {
 
-/// A request came in.
+/// A request was received.
 struct CallArrived {
   IncomingCall m_call;
 };
@@ -26,33 +26,33 @@
   RequestId m_request;
 };
 
-/// A try ended.
+/// An attempt ended.
 struct AttemptEnded {
   AttemptId m_attempt;
   AttemptOutcome m_outcome = AttemptOutcome::kNoAnswer;
-  /// From a peer: what is free there now.
+  /// Slots free at the peer now; from peers only.
   std::optional<ServiceSlots> m_slots;
-  /// From a peer that refused: when it expects a free slot.
+  /// When the peer expects a free slot; from peers that refused only.
   Duration m_retry_after{};
 };
 
-/// Another entry VM answered about a key; kUnknown where it did not.
-struct SeenAnswered {
+/// Answer of another entry VM to QueryKeyState; kUnknown if there was none.
+struct KeyStateReceived {
   RequestId m_request;
   VmName m_vm;
   KeyState m_state = KeyState::kUnknown;
 };
 
-/// Heartbeats came in.
+/// VM records (heartbeats) were received.
 struct GossipArrived {
   std::vector<VmRecord> m_records;
 };
 
-/// Another VM of our region states its free slots; or it wants one of ours.
+/// Another VM of the own region reports its free slots, or requests a slot.
 struct SlotNoticeArrived {
   VmName m_vm;
   ServiceSlots m_slots;
-  bool m_wants = false;
+  bool m_is_slot_request = false;
 };
 
 /// A newer configuration was fetched and checked.
@@ -60,12 +60,12 @@
   std::shared_ptr<const Snapshot> m_snapshot;
 };
 
-/// Addresses of entry VMs for first contact, from settings or the platform.
+/// Addresses of entry VMs for first contact, from the settings or the platform.
 struct SeedsLearned {
   std::vector<VmAddress> m_seeds;
 };
 
-/// Time passed. Comes every few milliseconds.
+/// Timer event, every few milliseconds.
 struct Tick {};
 
 /// The process was asked to stop.
@@ -74,7 +74,7 @@
 using Event = std::variant<CallArrived,
                            CallerLeft,
                            AttemptEnded,
-                           SeenAnswered,
+                           KeyStateReceived,
                            GossipArrived,
                            SlotNoticeArrived,
                            SnapshotInstalled,
--- a/src/core/held_backend.cc
+++ b/src/core/held_backend.cc
@@ -1,4 +1,4 @@
-/// @file held_backend.cc Slots, slow start and setting aside.
+/// @file held_backend.cc Slots, slow start and ejection of a backend server.
 
 #include "core/held_backend.h"
 
@@ -13,13 +13,14 @@
 namespace {
 
 constexpr double kColdStartShare = 0.5;
-constexpr double kShedFactor = 0.7;
-constexpr double kRunTimeWeight = 0.1;
-constexpr uint32_t kFailuresToSetAside = 3;
-constexpr Duration kShortestAside = milliseconds(250);
-constexpr Duration kLongestAside = seconds(4);
-
-/// True where the server may still be busy with the request after we gave up.
+constexpr double kShedLimitFactor = 0.7;
+constexpr double kRunTimeEwmaWeight = 0.1;
+constexpr uint32_t kFailuresToEject = 3;
+constexpr Duration kMinEjection = milliseconds(250);
+constexpr Duration kMaxEjection = seconds(4);
+
+/// Whether the server may still be busy with the request after the attempt
+/// ended here.
 bool MayStillRun(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kDeadlineAfterSend ||
          outcome == AttemptOutcome::kCancelledAfterSend ||
@@ -31,7 +32,7 @@
 HeldBackend::HeldBackend(uint32_t slots, TimePoint now)
     : m_slots(slots),
       m_limit(std::max(1.0, slots * kColdStartShare)),
-      m_taken_over(now) {}
+      m_held_since(now) {}
 
 void HeldBackend::SetSlots(uint32_t slots) {
   m_slots = slots;
@@ -58,7 +59,7 @@
     m_aborted.push_back(now + kAbortGrace);
   }
   if (outcome == AttemptOutcome::kShed) {
-    m_limit = std::max(1.0, m_limit * kShedFactor);
+    m_limit = std::max(1.0, m_limit * kShedLimitFactor);
     return;
   }
   if (outcome == AttemptOutcome::kAnswered) {
@@ -69,8 +70,8 @@
             ? took
             : Duration(static_cast<int64_t>(std::lround(
                   static_cast<double>(m_run_time.count()) *
-                      (1 - kRunTimeWeight) +
-                  static_cast<double>(took.count()) * kRunTimeWeight)));
+                      (1 - kRunTimeEwmaWeight) +
+                  static_cast<double>(took.count()) * kRunTimeEwmaWeight)));
     return;
   }
   if (DescribeOutcome(outcome).m_is_failure) {
@@ -78,10 +79,10 @@
   }
 }
 
-bool HeldBackend::TryTakeShifted(uint32_t share, TimePoint now) {
-  // The former holder may have used the share of the current second up, and
-  // our window knows nothing of it. After one window nothing of it counts.
-  if (now - m_taken_over < RateWindow::kSpan) {
+bool HeldBackend::TryCountShifted(uint32_t share, TimePoint now) {
+  // The former holder may have used up the share of the current second, which
+  // is not in this window. After one window span its requests no longer count.
+  if (now - m_held_since < RateWindow::kSpan) {
     return false;
   }
   return m_shift_window.TryTake(share, now);
@@ -100,13 +101,12 @@
 
 void HeldBackend::CountFailure(TimePoint now) {
   ++m_failures_in_row;
-  if (m_failures_in_row < kFailuresToSetAside) {
+  if (m_failures_in_row < kFailuresToEject) {
     return;
   }
-  const uint32_t doublings =
-      std::min(m_failures_in_row - kFailuresToSetAside, 4U);
-  m_aside_until =
-      now + std::min(kLongestAside, kShortestAside * (1 << doublings));
+  const uint32_t doublings = std::min(m_failures_in_row - kFailuresToEject, 4U);
+  m_ejected_until =
+      now + std::min(kMaxEjection, kMinEjection * (1 << doublings));
 }
 
 }  // namespace sorrelplank
--- a/src/core/held_backend.h
+++ b/src/core/held_backend.h
@@ -1,4 +1,4 @@
-/// @file held_backend.h A backend server as its holder knows it.
+/// @file held_backend.h State of a backend server at its holder.
 
 #ifndef SORRELPLANK_CORE_HELD_BACKEND_H_
 #define SORRELPLANK_CORE_HELD_BACKEND_H_
@@ -12,42 +12,46 @@
 
 namespace sorrelplank {
 
-/// Exact state of one held backend server. Reports of its load never raise
-/// what it may take: they lag and mislead, while the holder counts.
+/// Exact state of one held backend server. Load reports of the server never
+/// raise its limit: they lag and can be wrong, while the holder counts the
+/// requests itself.
 class HeldBackend {
  public:
-  /// A newly held server starts with few slots: its caches may be cold.
+  /// A newly held server starts with a low limit: its caches may be cold.
   HeldBackend(uint32_t slots, TimePoint now);
 
-  /// Held anew after a pause, in which somebody else may have held it.
-  void HoldAgain(TimePoint now) { m_taken_over = now; }
+  /// Sets when the server was taken over, also when it is held again after a
+  /// pause during which another VM may have held it.
+  void SetHeldSince(TimePoint now) { m_held_since = now; }
 
-  /// Follows a change of configuration.
+  /// Applies a configuration change.
   void SetSlots(uint32_t slots);
 
-  /// Slots free now, within the adaptive limit.
+  /// Free slots within the adaptive limit.
   uint32_t FreeSlots(TimePoint now);
 
-  /// Takes one slot; there must be one free.
+  /// Takes one slot. The caller must have checked that one is free.
   void Take(TimePoint now);
 
-  /// Gives the slot back, with how the try ended and how long it took.
+  /// Releases the slot, given the outcome and the duration of the attempt.
   void Finish(AttemptOutcome outcome, Duration took, TimePoint now);
 
-  /// Requests in flight, with those aborted a moment ago.
+  /// Requests in flight, including those aborted less than kAbortGrace ago.
   uint32_t InFlight(TimePoint now);
 
-  /// True while it is set aside after failures in a row.
-  bool IsSetAside(TimePoint now) const { return now < m_aside_until; }
+  /// Whether the server is ejected after consecutive failures.
+  bool IsEjected(TimePoint now) const { return now < m_ejected_until; }
 
-  /// Smoothed run time of its answered requests; zero before the first.
+  /// Moving average of the run time of answered requests; zero before the
+  /// first.
   Duration RunTime() const { return m_run_time; }
 
-  /// Slots by configuration.
+  /// Slots by the configuration.
   uint32_t Slots() const { return m_slots; }
 
-  /// Counts a request of a caller at home elsewhere, if the share allows it.
-  bool TryTakeShifted(uint32_t share, TimePoint now);
+  /// Counts a request of a caller from another place, if the share of the shift
+  /// cap allows it.
+  bool TryCountShifted(uint32_t share, TimePoint now);
 
  private:
   void ExpireAborted(TimePoint now);
@@ -55,15 +59,15 @@
 
   uint32_t m_slots;
   uint32_t m_in_flight = 0;
-  /// Adaptive limit: starts low, grows with each answer, falls when the
-  /// server sheds.
+  /// Adaptive limit: starts low, grows with each answer, shrinks when the
+  /// server sheds a request.
   double m_limit;
   Duration m_run_time{};
   uint32_t m_failures_in_row = 0;
-  TimePoint m_aside_until{};
-  /// When the slots of aborted requests count as free again.
+  TimePoint m_ejected_until{};
+  /// Times at which the slots of aborted requests count as free again.
   std::deque<TimePoint> m_aborted;
-  TimePoint m_taken_over;
+  TimePoint m_held_since;
   RateWindow m_shift_window;
 };
 
--- a/src/core/holdings.cc
+++ b/src/core/holdings.cc
@@ -1,11 +1,11 @@
-/// @file holdings.cc Taking over and giving up backend servers.
+/// @file holdings.cc Takeover and release of backend servers.
 
 #include "core/holdings.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/backend_deal_func.h"
+#include "core/backend_assignment_func.h"
 #include "core/invariant_func.h"
 #include "core/timing_type.h"
 
@@ -14,12 +14,12 @@
 namespace {
 
 /// How long after a holder's last heartbeat its requests may still run. It
-/// dispatched for one heartbeat interval more at the most (else there would
-/// have been another heartbeat), and each request ends by its deadline.
-/// A holder that was paused demotes itself after kPauseLimit, which the
-/// horizon doubles.
+/// dispatched for at most one more heartbeat interval (otherwise there would
+/// have been another heartbeat), and each request ends by its deadline. A
+/// holder that was paused demotes itself after kPauseLimit, half of
+/// kTakeoverTimeout.
 Duration TakeoverWait(const Service& service) {
-  return std::max(kTakeoverHorizon,
+  return std::max(kTakeoverTimeout,
                   service.m_deadline + kHeartbeatInterval + kAbortGrace);
 }
 
@@ -49,8 +49,8 @@
     Entry& entry = it->second;
     entry.m_takeover_wait = TakeoverWait(snapshot.Get(backend.m_service));
     if (is_new) {
-      // Nobody told us yet who holds it: an older process of our own name or a
-      // VM that we have not heard of may still dispatch.
+      // The current holder is not known yet: an older process of the same name
+      // or a VM not heard of yet may still dispatch.
       entry.m_blocked_until = m_start + entry.m_takeover_wait;
     }
     if (entry.m_backend) {
@@ -67,24 +67,28 @@
       entry.m_blocked_until = now + entry.m_takeover_wait;
       continue;
     }
-    const bool gave_up = entry.m_claimant == record.m_name &&
-                         entry.m_claimant_incarnation == record.m_incarnation;
-    if (gave_up) {
-      // Its own later heartbeat no longer lists it: nothing is in flight there
-      // and nothing will be. No wait is needed.
+    const bool has_released =
+        entry.m_claimant == record.m_name &&
+        entry.m_claimant_incarnation == record.m_incarnation;
+    if (has_released) {
+      // A later heartbeat of the same incarnation no longer lists the server:
+      // nothing is in flight there and nothing will be dispatched, so no wait
+      // is needed.
       entry.m_claimant.clear();
       entry.m_blocked_until = now;
     }
   }
 }
 
-bool Holdings::Settle(const View& view, TimePoint now) {
+bool Holdings::Reconcile(const View& view, TimePoint now) {
   bool changed = false;
-  const auto deal = DealBackends(view.m_snapshot, view.m_place, view.m_vms);
+  const auto assignment =
+      AssignBackends(view.m_snapshot, view.m_place, view.m_vms);
   for (auto it = m_entries.begin(); it != m_entries.end();) {
-    const auto dealt = deal.find(it->first);
-    const bool should_hold = dealt != deal.end() && dealt->second == m_self;
-    changed |= Step(it->first, it->second, should_hold, view, now);
+    const auto assigned = assignment.find(it->first);
+    const bool should_hold =
+        assigned != assignment.end() && assigned->second == m_self;
+    changed |= ReconcileEntry(it->first, it->second, should_hold, view, now);
     const bool is_gone = it->second.m_hold == Hold::kNone &&
                          !view.m_snapshot.FindBackend(it->first);
     it = is_gone ? m_entries.erase(it) : std::next(it);
@@ -92,11 +96,11 @@
   return changed;
 }
 
-bool Holdings::Step(NameHash hash,
-                    Entry& entry,
-                    bool should_hold,
-                    const View& view,
-                    TimePoint now) {
+bool Holdings::ReconcileEntry(NameHash hash,
+                              Entry& entry,
+                              bool should_hold,
+                              const View& view,
+                              TimePoint now) {
   switch (entry.m_hold) {
     case Hold::kNone:
       if (!should_hold || m_is_retired) {
@@ -110,7 +114,7 @@
         entry.m_hold = Hold::kNone;
         return true;
       }
-      if (!IsCleared(hash, entry, view, now)) {
+      if (!IsClaimAccepted(hash, entry, view, now)) {
         return false;
       }
       entry.m_hold = Hold::kHeld;
@@ -118,11 +122,11 @@
       entry.m_claimant.clear();
       if (!entry.m_backend) {
         const auto id = view.m_snapshot.FindBackend(hash);
-        Invariant(id.has_value(), "a dealt backend server is configured");
+        Invariant(id.has_value(), "an assigned backend server is configured");
         entry.m_backend = std::make_unique<HeldBackend>(
             view.m_snapshot.Get(*id).m_slots, now);
       }
-      entry.m_backend->HoldAgain(now);
+      entry.m_backend->SetHeldSince(now);
       return true;
     }
     case Hold::kHeld:
@@ -143,27 +147,27 @@
   return false;
 }
 
-bool Holdings::IsCleared(NameHash hash,
-                         const Entry& entry,
-                         const View& view,
-                         TimePoint now) const {
+bool Holdings::IsClaimAccepted(NameHash hash,
+                               const Entry& entry,
+                               const View& view,
+                               TimePoint now) const {
   if (!m_safeguards.m_takeover_wait) {
     return true;
   }
-  if (now < entry.m_blocked_until || HasLostTrack(entry, view, now)) {
+  if (now < entry.m_blocked_until || MayHaveMissedTakeover(entry, view, now)) {
     return false;
   }
   const NameHash place = view.m_snapshot.Get(view.m_place).m_hash;
   const auto& members = view.m_members.All();
   return std::all_of(members.begin(), members.end(), [&](const auto& item) {
     return item.second.m_record.m_place != place ||
-           IsClearedBy(item.second, hash, entry, view, now);
+           IsClaimAcceptedBy(item.second, hash, entry, view, now);
   });
 }
 
-bool Holdings::HasLostTrack(const Entry& entry,
-                            const View& view,
-                            TimePoint now) const {
+bool Holdings::MayHaveMissedTakeover(const Entry& entry,
+                                     const View& view,
+                                     TimePoint now) const {
   if (!entry.m_was_demoted ||
       now - m_listening_since >= entry.m_takeover_wait) {
     return false;
@@ -171,9 +175,9 @@
   if (m_known_at_pause.empty()) {
     return true;
   }
-  // A sibling that was there all the time vouches for what happened during our
-  // pause. A new one, or a new process of an old one, does not: the one that
-  // took over from us may have died since, with requests still running.
+  // A sibling that was alive all the time knows what happened during our pause.
+  // A new sibling, or a new process of an old one, does not: the VM that took
+  // over from us may have died since, with requests still running.
   const NameHash place = view.m_snapshot.Get(view.m_place).m_hash;
   const auto& members = view.m_members.All();
   return std::any_of(members.begin(), members.end(), [&](const auto& item) {
@@ -184,11 +188,11 @@
   });
 }
 
-bool Holdings::IsClearedBy(const Member& sibling,
-                           NameHash hash,
-                           const Entry& entry,
-                           const View& view,
-                           TimePoint now) const {
+bool Holdings::IsClaimAcceptedBy(const Member& sibling,
+                                 NameHash hash,
+                                 const Entry& entry,
+                                 const View& view,
+                                 TimePoint now) const {
   const TimePoint silent_since = std::max(sibling.m_heard, m_listening_since);
   if (now - silent_since >= entry.m_takeover_wait) {
     return true;
@@ -198,8 +202,8 @@
     return false;
   }
   if (record.m_config_version > view.m_snapshot.m_version) {
-    // It runs a configuration that we missed, and which may have let the
-    // server go. Holding by the old one would give it new work.
+    // It runs a newer configuration, in which the server may be leaving.
+    // Holding it by the old one would dispatch new requests to that server.
     return false;
   }
   bool has_heard_claim = false;
@@ -208,7 +212,7 @@
       has_heard_claim = heard.m_incarnation == m_incarnation &&
                         heard.m_sequence >= entry.m_claim_sequence;
     } else if (!view.m_members.Knows(heard.m_name)) {
-      // It knows a sibling that we have not heard yet.
+      // It knows a sibling that has not been heard here yet.
       return false;
     }
   }
@@ -229,7 +233,7 @@
   return it == m_entries.end() ? nullptr : it->second.m_backend.get();
 }
 
-std::vector<NameHash> Holdings::Listed(TimePoint now) {
+std::vector<NameHash> Holdings::ListedBackends(TimePoint now) {
   std::vector<NameHash> listed;
   for (auto& [hash, entry] : m_entries) {
     const bool is_busy = entry.m_backend && entry.m_backend->InFlight(now) > 0;
--- a/src/core/hybrid_clock.h
+++ b/src/core/hybrid_clock.h
@@ -1,4 +1,5 @@
-/// @file hybrid_clock.h Order of events over processes whose clocks differ.
+/// @file hybrid_clock.h Ordering of events across processes with different
+/// clocks.
 
 #ifndef SORRELPLANK_CORE_HYBRID_CLOCK_H_
 #define SORRELPLANK_CORE_HYBRID_CLOCK_H_
@@ -11,18 +12,18 @@
 namespace sorrelplank {
 
 /// Hybrid logical clock: wall-clock microseconds in the upper 52 bits, a
-/// counter in the lower 12. Each message carries it, and a receiver never
-/// stamps below what it received, so causes sort before effects also where
+/// counter in the lower 12. Each message carries a stamp, and a receiver never
+/// issues a lower one than it received. So causes sort before effects even if
 /// clocks differ by minutes.
 class HybridClock {
  public:
-  /// Stamp for a local event or a message to send.
+  /// Returns the stamp of a local event or a message to send.
   uint64_t Next(microseconds wall) {
     m_last = std::max(m_last + 1, Pack(wall));
     return m_last;
   }
 
-  /// Takes in the stamp of a received message.
+  /// Takes the stamp of a received message into account.
   void Observe(uint64_t stamp) { m_last = std::max(m_last, stamp); }
 
   /// Wall-clock part of a stamp.
--- a/src/core/ids.cc
+++ b/src/core/ids.cc
@@ -15,7 +15,7 @@
 }
 
 QuotaSubject HashServer(const std::string& name) {
-  // Not the hash of an organisation with the same name.
+  // Seeded, to differ from the hash of an organisation of the same name.
   constexpr uint64_t kSeed = 1;
   return QuotaSubject(XXH3_64bits_withSeed(name.data(), name.size(), kSeed));
 }
--- a/src/core/key_memory.cc
+++ b/src/core/key_memory.cc
@@ -1,4 +1,4 @@
-/// @file key_memory.cc Remembering and forgetting keys.
+/// @file key_memory.cc Recording and expiry of idempotency keys.
 
 #include "core/key_memory.h"
 
@@ -15,7 +15,7 @@
                       RequestId request,
                       uint32_t send,
                       TimePoint now) {
-  Remember(key, {KeyState::kInProgress, request, send, now});
+  StoreRecord(key, {KeyState::kInProgress, request, send, now});
 }
 
 void KeyMemory::End(KeyHash key, KeyState state) {
@@ -25,48 +25,49 @@
   }
 }
 
-KeyState KeyMemory::Ask(KeyHash key, uint32_t send, TimePoint now) {
+KeyState KeyMemory::AnswerPeerQuery(KeyHash key, uint32_t send, TimePoint now) {
   const KeyRecord known = Find(key);
   switch (known.m_state) {
     case KeyState::kNeverSeen:
-      if (now < m_unsure_until) {
+      if (now < m_incomplete_until) {
         return KeyState::kUnknown;
       }
-      Remember(key, {KeyState::kAsked, RequestId(), send, now});
+      StoreRecord(key, {KeyState::kClaimedByPeer, RequestId(), send, now});
       return KeyState::kNeverSeen;
     case KeyState::kNotRun:
-    case KeyState::kAsked:
-      // The asker will run it; from now on this VM must not.
-      Remember(key, {KeyState::kAsked, known.m_request,
-                     std::max(send, known.m_send), now});
-      return known.m_state == KeyState::kAsked ? KeyState::kNeverSeen
-                                               : KeyState::kNotRun;
+    case KeyState::kClaimedByPeer:
+      // The querying VM is going to run the request, so this VM must not.
+      StoreRecord(key, {KeyState::kClaimedByPeer, known.m_request,
+                        std::max(send, known.m_send), now});
+      return known.m_state == KeyState::kClaimedByPeer ? KeyState::kNeverSeen
+                                                       : KeyState::kNotRun;
     default:
       return known.m_state;
   }
 }
 
 void KeyMemory::Expire(TimePoint now) {
-  while (!m_order.empty() && m_order.front().first + m_window <= now) {
-    const auto it = m_records.find(m_order.front().second);
-    const bool is_latest =
-        it != m_records.end() && it->second.m_since == m_order.front().first;
+  while (!m_expiry_order.empty() &&
+         m_expiry_order.front().first + m_window <= now) {
+    const auto it = m_records.find(m_expiry_order.front().second);
+    const bool is_latest = it != m_records.end() &&
+                           it->second.m_since == m_expiry_order.front().first;
     if (is_latest && it->second.m_state != KeyState::kInProgress) {
       m_records.erase(it);
     }
-    m_order.pop_front();
+    m_expiry_order.pop_front();
   }
 }
 
-void KeyMemory::Remember(KeyHash key, KeyRecord record) {
-  if (m_records.size() >= kMostKeys && !m_order.empty()) {
-    const auto [since, oldest] = m_order.front();
-    m_order.pop_front();
+void KeyMemory::StoreRecord(KeyHash key, KeyRecord record) {
+  if (m_records.size() >= kMaxKeys && !m_expiry_order.empty()) {
+    const auto [since, oldest] = m_expiry_order.front();
+    m_expiry_order.pop_front();
     m_records.erase(oldest);
-    m_unsure_until = std::max(m_unsure_until, since + m_window);
+    m_incomplete_until = std::max(m_incomplete_until, since + m_window);
   }
   m_records[key] = record;
-  m_order.emplace_back(record.m_since, key);
+  m_expiry_order.emplace_back(record.m_since, key);
 }
 
 }  // namespace sorrelplank
--- a/src/core/key_memory_type.h
+++ b/src/core/key_memory_type.h
@@ -1,4 +1,4 @@
-/// @file key_memory_type.h What an entry VM remembers of a key.
+/// @file key_memory_type.h Record of an idempotency key at an entry VM.
 
 #ifndef SORRELPLANK_CORE_KEY_MEMORY_TYPE_H_
 #define SORRELPLANK_CORE_KEY_MEMORY_TYPE_H_
@@ -10,23 +10,24 @@
 
 namespace sorrelplank {
 
-/// State of the key of a non-idempotent request at one entry VM.
-/// The numbers travel between processes; never renumber.
+/// State of the key of a non-idempotent request at one entry VM. The values are
+/// sent between processes; never renumber them.
 enum class KeyState : uint8_t {
-  kNeverSeen = 0,   ///< Certainly never arrived here.
-  kInProgress = 1,  ///< Being worked on.
-  kNotRun = 2,      ///< Given up, certainly not run.
-  kMayHaveRun = 3,  ///< Given up, may have run.
-  kRan = 4,         ///< Ran; the answer may still be kept.
-  kAsked = 5,       ///< Another VM asked and was told that it is not here.
-  kUnknown = 6,     ///< The memory does not reach back far enough.
+  kNeverSeen = 0,      ///< Certainly never arrived here.
+  kInProgress = 1,     ///< In progress here.
+  kNotRun = 2,         ///< Ended; certainly did not run.
+  kMayHaveRun = 3,     ///< Ended; may have run.
+  kRan = 4,            ///< Ran; the answer may still be kept.
+  kClaimedByPeer = 5,  ///< A peer was told that it may run the request.
+  kUnknown = 6,        ///< Cannot tell: records were removed early.
 };
 
-/// A remembered key.
+/// Record of a key.
 struct KeyRecord {
   KeyState m_state = KeyState::kNeverSeen;
   RequestId m_request;
-  /// The caller's send that made the record: 1 for its first, 0 unstated.
+  /// Number of the caller's send that made the record: 1 for the first, 0 if
+  /// not stated.
   uint32_t m_send = 0;
   TimePoint m_since{};
 };
--- a/src/core/lookup_table.cc
+++ b/src/core/lookup_table.cc
@@ -1,4 +1,4 @@
-/// @file lookup_table.cc Building of lists and the ramp of shifts.
+/// @file lookup_table.cc Construction of the lookup lists and gradual shifts.
 
 #include "core/lookup_table.h"
 
@@ -13,18 +13,18 @@
 
 namespace {
 
-/// VMs named in one answer.
-constexpr size_t kMostVms = 4;
-/// A shift reaches its full share after this many times to live.
-constexpr int64_t kShiftSteps = 4;
+/// Entry VMs in one answer.
+constexpr size_t kMaxVmsPerAnswer = 4;
+/// A shift reaches its full percentage after this many lookup TTLs.
+constexpr int64_t kShiftRampSteps = 4;
 
 LookupVm ToLookupVm(const VmRecord& record) {
   return {record.m_name, record.m_incarnation, record.m_address.m_ip,
           record.m_caller_port};
 }
 
-/// A stable number of a caller, below the limit.
-uint32_t Spread(uint32_t caller_ip, uint64_t seed, uint32_t limit) {
+/// Hashes a caller's address to a stable number below the limit.
+uint32_t HashCaller(uint32_t caller_ip, uint64_t seed, uint32_t limit) {
   return static_cast<uint32_t>(
       XXH3_64bits_withSeed(&caller_ip, sizeof(caller_ip), seed) % limit);
 }
@@ -56,7 +56,7 @@
   for (size_t index = 0; index < m_lists.size(); ++index) {
     const PlaceId place(static_cast<uint16_t>(index));
     auto rank = [&](PlaceId other) {
-      // Entry VMs of a leaving place go last: what they get they hand on.
+      // Entry VMs of a leaving place come last, as they forward every request.
       const int leaving = m_snapshot->Get(other).m_leaving ? 8 : 0;
       if (other == place) {
         return leaving;
@@ -72,11 +72,11 @@
                      });
     PlaceList& list = m_lists[index];
     for (auto& [other, vm] : sorted) {
-      list.m_local += other == place ? 1 : 0;
+      list.m_local_count += other == place ? 1 : 0;
       list.m_vms.push_back(std::move(vm));
     }
     if (m_snapshot->Get(place).m_leaving) {
-      list.m_local = 0;
+      list.m_local_count = 0;
     }
   }
 }
@@ -92,38 +92,39 @@
   if (m_lists.empty()) {
     return answer;
   }
-  // A caller outside every block still gets an answer: any place serves it.
+  // A caller outside all client blocks still gets an answer, since any place
+  // can serve it.
   const PlaceId home = answer.m_home.value_or(
-      PlaceId(static_cast<uint16_t>(Spread(caller_ip, 0, m_lists.size()))));
-  answer.m_place = Steer(home, caller_ip, elapsed);
+      PlaceId(static_cast<uint16_t>(HashCaller(caller_ip, 0, m_lists.size()))));
+  answer.m_place = PlaceAfterShifts(home, caller_ip, elapsed);
   const PlaceList& list = m_lists[answer.m_place->Get()];
-  const size_t local = list.m_local;
-  const size_t count = std::min(kMostVms, list.m_vms.size());
-  const size_t first = local > 0 ? Spread(caller_ip, 1, local) : 0;
+  const size_t local = list.m_local_count;
+  const size_t count = std::min(kMaxVmsPerAnswer, list.m_vms.size());
+  const size_t first = local > 0 ? HashCaller(caller_ip, 1, local) : 0;
   for (size_t index = 0; index < count; ++index) {
-    // Callers start at different VMs of their place, which spreads them.
+    // Callers start at different VMs of their place, which spreads the load.
     const size_t at = index < local ? (first + index) % local : index;
     answer.m_vms.push_back(list.m_vms[at]);
   }
   return answer;
 }
 
-PlaceId LookupTable::Steer(PlaceId home,
-                           uint32_t caller_ip,
-                           Duration elapsed) const {
+PlaceId LookupTable::PlaceAfterShifts(PlaceId home,
+                                      uint32_t caller_ip,
+                                      Duration elapsed) const {
   const Duration ttl = std::max(Duration(1), m_snapshot->m_policy.m_lookup_ttl);
-  const int64_t steps = std::min<int64_t>(kShiftSteps, elapsed / ttl + 1);
+  const int64_t steps = std::min<int64_t>(kShiftRampSteps, elapsed / ttl + 1);
   uint32_t taken = 0;
-  const uint32_t position = Spread(caller_ip, 2, 100);
+  const uint32_t position = HashCaller(caller_ip, 2, 100);
   for (const Shift& shift : m_snapshot->m_shifts) {
     if (shift.m_from != home || m_snapshot->Get(shift.m_to).m_leaving) {
       continue;
     }
-    // Each step waits until clients have dropped the answers of the step
-    // before: a cached answer keeps its caller at the old place for one time
-    // to live, and without the wait the last step would land all at once.
+    // A cached answer keeps its caller at the old place for one TTL. Hence each
+    // step lasts one TTL: clients have dropped the answers of the step before.
+    // Without the wait the last step would move all callers at once.
     const auto share =
-        static_cast<uint32_t>(shift.m_percent * steps / kShiftSteps);
+        static_cast<uint32_t>(shift.m_percent * steps / kShiftRampSteps);
     if (position >= taken && position < taken + share) {
       return shift.m_to;
     }
--- a/src/core/lookup_table.h
+++ b/src/core/lookup_table.h
@@ -1,4 +1,5 @@
-/// @file lookup_table.h Answers to "which entry VMs shall I use".
+/// @file lookup_table.h Answers to lookups: the entry VMs that a caller should
+/// use.
 
 #ifndef SORRELPLANK_CORE_LOOKUP_TABLE_H_
 #define SORRELPLANK_CORE_LOOKUP_TABLE_H_
@@ -24,38 +25,42 @@
 
 /// Answer to a lookup.
 struct LookupAnswer {
-  /// Where the caller is sent; its home, or where a shift moves it.
+  /// Where the caller is sent: its home, or the target of a shift.
   std::optional<PlaceId> m_place;
   std::optional<PlaceId> m_home;
-  /// Best first.
+  /// In order of preference.
   std::vector<LookupVm> m_vms;
   Duration m_ttl{};
   ConfigVersion m_version;
 };
 
-/// Entry VMs per place, in the order in which a caller of that place should
-/// try them: its own place, its region, the rest. Built when membership
-/// changes, so that a lookup itself is one prefix match and a short copy.
+/// Entry VMs per place, in the order in which a caller of that place should try
+/// them: its own place, its region, the rest. The table is built when
+/// membership changes, so that a lookup is only a prefix match and a short
+/// copy.
 class LookupTable {
  public:
-  /// Lists every VM that is alive, ready and not leaving.
+  /// Builds the lists from all VMs that are alive, ready and not leaving.
   void Build(std::shared_ptr<const Snapshot> snapshot,
              const Membership& membership,
              const VmRecord& self,
              TimePoint now);
 
-  /// Answers a caller. Elapsed: since the configuration came into force here;
-  /// shifts ramp up with it.
+  /// Answers a caller. `elapsed` is the time since the configuration came into
+  /// force here; the percentage of shifts grows with it.
   LookupAnswer Find(uint32_t caller_ip, Duration elapsed) const;
 
  private:
-  PlaceId Steer(PlaceId home, uint32_t caller_ip, Duration elapsed) const;
+  PlaceId PlaceAfterShifts(PlaceId home,
+                           uint32_t caller_ip,
+                           Duration elapsed) const;
 
   std::shared_ptr<const Snapshot> m_snapshot;
-  /// By place: every usable VM, nearest first, with the count in the place.
+  /// Per place: all usable VMs, nearest first, and how many of them are in the
+  /// place.
   struct PlaceList {
     std::vector<LookupVm> m_vms;
-    size_t m_local = 0;
+    size_t m_local_count = 0;
   };
   std::vector<PlaceList> m_lists;
 };
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -1,4 +1,4 @@
-/// @file membership.cc Merging of records and judgement of life.
+/// @file membership.cc Merging of VM records and failure detection.
 
 #include "core/membership.h"
 
@@ -13,8 +13,9 @@
 
 MergeResult Membership::Merge(const VmRecord& record, TimePoint now) {
   if (record.m_name == m_self) {
-    return record.m_incarnation > m_own_incarnation ? MergeResult::kReplacedUs
-                                                    : MergeResult::kStale;
+    return record.m_incarnation > m_own_incarnation
+               ? MergeResult::kNewerIncarnationOfSelf
+               : MergeResult::kStale;
   }
   const auto [it, is_new] = m_members.try_emplace(record.m_name);
   Member& member = it->second;
@@ -28,12 +29,12 @@
   member.m_record = record;
   member.m_heard = now;
   if (restarted) {
-    member.m_beliefs.clear();
+    member.m_slot_estimates.clear();
   }
   for (const ServiceSlots& slots : record.m_slots) {
-    SlotBelief& belief = member.m_beliefs[slots.m_service];
-    belief.m_held = slots.m_held;
-    belief.m_free = slots.m_free;
+    SlotEstimate& estimate = member.m_slot_estimates[slots.m_service];
+    estimate.m_held = slots.m_held;
+    estimate.m_free = slots.m_free;
   }
   return restarted ? MergeResult::kRestarted : MergeResult::kAdvanced;
 }
@@ -64,22 +65,22 @@
   return live;
 }
 
-void Membership::Believe(const VmName& name,
-                         const ServiceSlots& slots,
-                         TimePoint retry_at) {
+void Membership::UpdateSlotEstimate(const VmName& name,
+                                    const ServiceSlots& slots,
+                                    TimePoint retry_at) {
   Member* member = Find(name);
   if (member == nullptr) {
     return;
   }
-  SlotBelief& belief = member->m_beliefs[slots.m_service];
-  belief.m_held = slots.m_held;
-  belief.m_free = slots.m_free;
-  belief.m_retry_at = retry_at;
+  SlotEstimate& estimate = member->m_slot_estimates[slots.m_service];
+  estimate.m_held = slots.m_held;
+  estimate.m_free = slots.m_free;
+  estimate.m_retry_at = retry_at;
 }
 
-bool Membership::Forget(TimePoint now) {
+bool Membership::RemoveExpired(TimePoint now) {
   return std::erase_if(m_members, [&](const auto& entry) {
-           return now - entry.second.m_heard > kForgetAfter;
+           return now - entry.second.m_heard > kMemberExpiry;
          }) > 0;
 }
 
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,4 +1,4 @@
-/// @file membership.h Which entry VMs are alive, as one of them sees it.
+/// @file membership.h Table of entry VMs as one of them knows it.
 
 #ifndef SORRELPLANK_CORE_MEMBERSHIP_H_
 #define SORRELPLANK_CORE_MEMBERSHIP_H_
@@ -11,70 +11,73 @@
 
 namespace sorrelplank {
 
-/// Outcome of merging a record.
+/// Result of merging a record.
 enum class MergeResult {
-  kStale,       ///< Older than or equal to what is known.
-  kAdvanced,    ///< A newer heartbeat of the incarnation already known.
-  kRestarted,   ///< First record of a VM, or of a new incarnation of it.
-  kReplacedUs,  ///< Somebody newer runs under our own name.
+  kStale,                   ///< Not newer than the known record.
+  kAdvanced,                ///< A newer heartbeat of the known incarnation.
+  kRestarted,               ///< First record of a VM or of a new incarnation.
+  kNewerIncarnationOfSelf,  ///< A newer process runs under our own name.
 };
 
-/// What we believe of another VM's slots for one service, between heartbeats.
-struct SlotBelief {
+/// Estimate of another VM's slots for one service, between its heartbeats.
+struct SlotEstimate {
   uint32_t m_held = 0;
-  /// As last stated by it, less what we handed on since.
+  /// As last reported by it, minus the requests forwarded to it since.
   uint32_t m_free = 0;
-  /// With none free: when one is expected to be.
+  /// If none are free: when it expects a free slot.
   TimePoint m_retry_at{};
 };
 
 /// One known entry VM.
 struct Member {
   VmRecord m_record;
-  /// When its heartbeat last advanced, by our clock. Clocks of VMs are never
-  /// compared: they may differ by minutes.
+  /// When its heartbeat last advanced, by the local clock. Clocks of VMs are
+  /// never compared, as they may differ by minutes.
   TimePoint m_heard;
-  std::map<NameHash, SlotBelief> m_beliefs;
-  /// It came from another place and our siblings have not got it from us yet.
-  bool m_is_news = false;
+  std::map<NameHash, SlotEstimate> m_slot_estimates;
+  /// Its record came from another place and has not been relayed to the
+  /// siblings yet.
+  bool m_is_relay_pending = false;
 };
 
-/// Table of all entry VMs that were heard of, directly or through others.
+/// Table of all entry VMs known directly or through others.
 class Membership {
  public:
-  /// The incarnation is our own, to tell a successor under our name.
+  /// The incarnation is our own; it serves to detect a successor under our
+  /// name.
   Membership(VmName self, NameHash place, Incarnation incarnation);
 
-  /// A predecessor of our name had a larger one; see Node.
+  /// Raises our incarnation above that of a predecessor; see Node.
   void SetIncarnation(Incarnation incarnation) {
     m_own_incarnation = incarnation;
   }
 
-  /// Takes in a record from gossip.
+  /// Merges a record received by gossip.
   MergeResult Merge(const VmRecord& record, TimePoint now);
 
-  /// True while the VM's heartbeat keeps advancing.
+  /// Whether the VM's heartbeat has advanced within the timeout.
   bool IsAlive(const Member& member, TimePoint now) const;
 
   /// The member of this name, alive or not; nullptr if unknown.
   Member* Find(const VmName& name);
   bool Knows(const VmName& name) const { return m_members.contains(name); }
 
-  /// Other VMs of our own place that are alive.
+  /// Other live VMs of the own place.
   std::vector<const Member*> LiveSiblings(TimePoint now) const;
 
-  /// All live VMs of one place but ourselves.
+  /// All live VMs of a place except this one.
   std::vector<const Member*> LiveOf(NameHash place, TimePoint now) const;
 
-  /// Takes in what a VM said of its slots in a reply.
-  void Believe(const VmName& name,
-               const ServiceSlots& slots,
-               TimePoint retry_at);
+  /// Stores the slots that a VM reported in a reply or notice.
+  void UpdateSlotEstimate(const VmName& name,
+                          const ServiceSlots& slots,
+                          TimePoint retry_at);
 
-  /// Drops VMs that have been silent for very long; true if there were any.
-  bool Forget(TimePoint now);
+  /// Removes VMs that have been silent for longer than kMemberExpiry. Returns
+  /// whether there were any.
+  bool RemoveExpired(TimePoint now);
 
-  /// Everything known, by name.
+  /// All known VMs by name.
   const std::map<VmName, Member>& All() const { return m_members; }
   std::map<VmName, Member>& All() { return m_members; }
 
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -1,4 +1,4 @@
-/// @file node.cc Events of the decision core.
+/// @file node.cc Event handlers of the decision core.
 
 #include "core/node.h"
 
@@ -42,9 +42,9 @@
   return m_lookups.Find(caller_ip, now - m_installed);
 }
 
-KeyRecord Node::AskKey(KeyHash key, uint32_t send, TimePoint now) {
+KeyRecord Node::AnswerKeyQuery(KeyHash key, uint32_t send, TimePoint now) {
   KeyRecord record = m_keys.Find(key);
-  record.m_state = m_keys.Ask(key, send, now);
+  record.m_state = m_keys.AnswerPeerQuery(key, send, now);
   return record;
 }
 
@@ -67,10 +67,10 @@
 
 std::vector<Node::HeldStatus> Node::HeldBackends(TimePoint now) {
   std::vector<HeldStatus> held;
-  for (const NameHash hash : m_holdings.Listed(now)) {
+  for (const NameHash hash : m_holdings.ListedBackends(now)) {
     HeldBackend* backend = m_holdings.Find(hash);
     if (backend == nullptr) {
-      held.push_back({hash, 0, 0, false});  // Claimed, and not held yet.
+      held.push_back({hash, 0, 0, false});  // Claimed, not held yet.
       continue;
     }
     held.push_back({hash, backend->Slots(), backend->InFlight(now),
@@ -113,10 +113,11 @@
                         !call.m_handed_on && m_safeguards.m_key_memory;
   if (!uses_key) {
     stored.m_key = KeyHash();
-    Place(stored);
+    DispatchOrQueue(stored);
     return;
   }
-  Decide(stored, m_key_filter.Apply(stored, m_keys, m_membership, m_now));
+  ApplyKeyDecision(stored,
+                   m_key_filter.Apply(stored, m_keys, m_membership, m_now));
 }
 
 void Node::On(const CallerLeft& event) {
@@ -134,22 +135,22 @@
 void Node::On(const AttemptEnded& event) {
   const auto attempt = m_attempts.find(event.m_attempt);
   if (attempt == m_attempts.end()) {
-    // The answer of a try that was given up. Its caller has its final answer;
-    // dropping it here is what keeps late answers from reaching anybody.
+    // The attempt was abandoned and its caller has a final answer already.
+    // Dropping the event keeps late answers from reaching anybody.
     ++m_counters.m_late_ends;
     return;
   }
   const auto it = m_calls.find(attempt->second);
   Invariant(it != m_calls.end() && it->second.m_attempt == event.m_attempt,
-            "an open try belongs to an open request");
+            "an open attempt belongs to an open request");
   m_attempts.erase(attempt);
   ++m_counters.m_outcomes[static_cast<size_t>(event.m_outcome)];
   HandleAttemptEnd(it->second, event);
 }
 
-void Node::On(const SeenAnswered& event) {
+void Node::On(const KeyStateReceived& event) {
   const auto it = m_calls.find(event.m_request);
-  if (it == m_calls.end() || it->second.m_stage != CallStage::kAsking) {
+  if (it == m_calls.end() || it->second.m_stage != CallStage::kQueryingPeers) {
     return;
   }
   Call& call = it->second;
@@ -161,14 +162,14 @@
     EndCall(call.m_request);
     return;
   }
-  const KeyDecision decision = KeyFilter::Judge(event.m_state);
+  const KeyDecision decision = KeyFilter::DecideByKeyState(event.m_state);
   if (!std::holds_alternative<KeyProceed>(decision)) {
-    Decide(call, decision);
+    ApplyKeyDecision(call, decision);
     return;
   }
-  --call.m_asks_open;
-  if (call.m_asks_open == 0) {
-    Place(call);
+  --call.m_pending_queries;
+  if (call.m_pending_queries == 0) {
+    DispatchOrQueue(call);
   }
 }
 
@@ -182,18 +183,19 @@
   for (const VmRecord& record : event.m_records) {
     tables_change |= ChangesTables(record);
     const MergeResult result = m_membership.Merge(record, m_now);
-    if (result == MergeResult::kReplacedUs) {
-      HearNamesake(record);
+    if (result == MergeResult::kNewerIncarnationOfSelf) {
+      HandleDuplicateProcess(record);
     }
-    if (result == MergeResult::kStale || result == MergeResult::kReplacedUs) {
+    if (result == MergeResult::kStale ||
+        result == MergeResult::kNewerIncarnationOfSelf) {
       continue;
     }
     ++m_counters.m_gossip_records;
-    m_membership.Find(record.m_name)->m_is_news = is_from_elsewhere;
+    m_membership.Find(record.m_name)->m_is_relay_pending = is_from_elsewhere;
     if (record.m_place == m_identity.m_place) {
       holdings_change = true;
       m_holdings.Observe(record, m_now);
-      MeetNamedSiblings(record);
+      ContactUnknownSiblings(record);
     }
     const ConfigVersion ours =
         m_snapshot ? m_snapshot->m_version : ConfigVersion();
@@ -204,7 +206,7 @@
     }
   }
   if (holdings_change) {
-    SettleHoldings();
+    ReconcileHoldings();
   }
   if (tables_change) {
     RebuildTables();
@@ -217,9 +219,9 @@
   if (!m_snapshot || !m_snapshot->FindService(service)) {
     return;
   }
-  m_membership.Believe(event.m_vm, event.m_slots, TimePoint{});
-  if (event.m_wants) {
-    RememberRefused(service, event.m_vm);
+  m_membership.UpdateSlotEstimate(event.m_vm, event.m_slots, TimePoint{});
+  if (event.m_is_slot_request) {
+    AddSlotWaiter(service, event.m_vm);
     OfferFreeSlot(service);
   } else {
     DrainQueue(service);
@@ -249,7 +251,7 @@
   m_holdings.Install(*m_snapshot, m_place);
   Record(TimelineKind::kConfigInstalled,
          "version " + std::to_string(m_snapshot->m_version.Get()));
-  SettleHoldings();
+  ReconcileHoldings();
   RebuildTables();
   DrainQueues();
   m_next_heartbeat = m_now;
@@ -270,7 +272,7 @@
     m_next_heartbeat = m_now + kHeartbeatInterval;
     Heartbeat();
   }
-  OutbidNamesake();
+  RaiseIncarnation();
   ExpireCalls();
   DrainQueues();
   CheckExit();
@@ -283,7 +285,7 @@
   m_stopping = true;
   m_stop_requested = m_now;
   Record(TimelineKind::kStopping, "asked to stop");
-  SettleHoldings();
+  ReconcileHoldings();
   RebuildTables();
   m_next_heartbeat = m_now;
 }
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -29,35 +29,37 @@
 
 namespace sorrelplank {
 
-/// Decides everything that one entry VM does. Knows no sockets, threads or
-/// clocks: it is handed events with the time, and appends actions. The process
-/// and the randomised runs drive this same class.
+/// Makes all decisions of one entry VM. It uses no sockets, threads or clocks:
+/// it is given events with their time and appends actions. The process and the
+/// randomised runs use this same class.
 class Node {
  public:
   Node(NodeIdentity identity, Safeguards safeguards, TimePoint now);
 
-  /// Handles one event. Times must not go back.
+  /// Handles one event. Times must not decrease.
   void Handle(const Event& event, TimePoint now, Actions& actions);
 
-  /// Answers a lookup; changes nothing.
+  /// Answers a lookup.
   LookupAnswer Lookup(uint32_t caller_ip, TimePoint now) const;
 
-  /// Our records as a VM of another place should get them: all of our place.
-  /// A sibling gets our own, and everything known where it wants all.
+  /// Records to send to a VM of the given place. Another place gets all records
+  /// of our place. A sibling gets our own record and, if it wants all, those of
+  /// the other places as well.
   std::vector<VmRecord> RecordsFor(NameHash place,
                                    bool wants_all,
                                    TimePoint now);
 
-  /// Our records in answer to a VM's gossip. Where we know a larger incarnation
-  /// of it, its last record too.
+  /// Records to send in answer to a VM's gossip. If a larger incarnation of
+  /// that VM is known, its last record is included.
   std::vector<VmRecord> AnswerGossip(const VmRecord& from,
                                      bool wants_all,
                                      TimePoint now);
 
-  /// Answers another VM about a key, which binds this one; see KeyMemory.
-  KeyRecord AskKey(KeyHash key, uint32_t send, TimePoint now);
+  /// Answers another VM's query for a key. The answer is binding; see
+  /// KeyMemory.
+  KeyRecord AnswerKeyQuery(KeyHash key, uint32_t send, TimePoint now);
 
-  /// The configuration in force; null before the first.
+  /// The configuration in force; null before the first one.
   const std::shared_ptr<const Snapshot>& Config() const { return m_snapshot; }
 
   const NodeIdentity& Identity() const { return m_identity; }
@@ -67,13 +69,13 @@
   bool IsStopping() const { return m_stopping; }
   bool IsFenced() const { return m_holdings.IsDemoted(); }
 
-  /// Slots held and free per service, for status.
+  /// Held and free slots per service, for status output.
   std::vector<ServiceSlots> Slots(TimePoint now);
 
-  /// The same for one service.
+  /// Held and free slots of one service.
   ServiceSlots SlotsOf(NameHash service, TimePoint now);
 
-  /// Backend servers held and their requests in flight, for status.
+  /// Listed backend servers and their requests in flight, for status output.
   struct HeldStatus {
     NameHash m_backend;
     uint32_t m_slots = 0;
@@ -82,18 +84,18 @@
   };
   std::vector<HeldStatus> HeldBackends(TimePoint now);
 
-  /// Requests that have no answer yet.
+  /// Number of requests without an answer.
   size_t OpenCalls() const { return m_calls.size(); }
 
-  /// Requests waiting for a slot.
+  /// Number of requests that wait for a slot.
   size_t QueuedCalls() const;
 
  private:
-  // node.cc: events.
+  // node.cc: event handlers.
   void On(const CallArrived& event);
   void On(const CallerLeft& event);
   void On(const AttemptEnded& event);
-  void On(const SeenAnswered& event);
+  void On(const KeyStateReceived& event);
   void On(const GossipArrived& event);
   void On(const SlotNoticeArrived& event);
   void On(const SnapshotInstalled& event);
@@ -101,16 +103,16 @@
   void On(const Tick& event);
   void On(const StopRequested& event);
 
-  // node_calls.cc: the pipeline.
-  void Decide(Call& call, const KeyDecision& decision);
-  void Place(Call& call);
+  // node_calls.cc: request pipeline.
+  void ApplyKeyDecision(Call& call, const KeyDecision& decision);
+  void DispatchOrQueue(Call& call);
   bool TryDispatch(Call& call);
   bool TryHandOn(Call& call, double cost_of_waiting);
   void WaitOrRefuse(Call& call);
   void HandleAttemptEnd(Call& call, const AttemptEnded& event);
   void ReleaseSlot(Call& call, AttemptOutcome outcome);
-  void RememberRefused(NameHash service, const VmName& vm);
-  void WantSlots(const Call& call);
+  void AddSlotWaiter(NameHash service, const VmName& vm);
+  void RequestSlots(const Call& call);
   void OfferFreeSlot(NameHash service);
   void DrainQueue(NameHash service);
   void DrainQueues();
@@ -126,25 +128,26 @@
   const Service& ConfigOf(NameHash service) const;
   ChooseBackendFilter BackendFilter() const;
 
-  // node_membership.cc: heartbeats, holdings, leaving.
+  // node_membership.cc: heartbeats, holdings, planned stop.
   void Heartbeat();
-  std::vector<VmRecord> NewsForSiblings();
+  std::vector<VmRecord> RecordsForSiblings();
   void SendToSiblings();
   void Send(const VmName& vm, VmAddress address, std::vector<VmRecord> records);
   void SendToPlaces();
   void SendToSeed();
-  std::vector<VmName> VmsThatMayHold();
-  void SettleHoldings();
-  /// True where a record makes a VM usable that was not, or the reverse.
+  std::vector<VmName> EligibleHolders();
+  void ReconcileHoldings();
+  /// Whether merging the record requires the route and lookup tables to be
+  /// rebuilt.
   bool ChangesTables(const VmRecord& record);
   void RebuildTables();
   void CheckPause(TimePoint now);
   void CheckExit();
-  void HearNamesake(const VmRecord& record);
-  void OutbidNamesake();
-  void MeetNamedSiblings(const VmRecord& record);
-  /// Returns true where a VM came to life or fell silent.
-  bool NoteMembershipChanges();
+  void HandleDuplicateProcess(const VmRecord& record);
+  void RaiseIncarnation();
+  void ContactUnknownSiblings(const VmRecord& record);
+  /// Returns whether a VM became live or silent.
+  bool RecordMembershipChanges();
   VmRecord SelfRecord();
 
   void Record(TimelineKind kind,
@@ -182,19 +185,19 @@
   TimePoint m_next_fetch{};
   std::vector<VmAddress> m_seeds;
   size_t m_next_seed = 0;
-  std::map<VmName, bool> m_alive_before;
+  std::map<VmName, bool> m_previous_liveness;
   bool m_is_replaced = false;
-  /// Another process of our name, with a larger incarnation.
-  struct Namesake {
+  /// Another process with our name and a larger incarnation.
+  struct DuplicateProcess {
     Incarnation m_incarnation;
     uint64_t m_sequence = 0;
     TimePoint m_since{};
   };
-  std::optional<Namesake> m_namesake;
+  std::optional<DuplicateProcess> m_duplicate;
   bool m_stopping = false;
   bool m_exit_sent = false;
   TimePoint m_stop_requested{};
-  /// The last request, and the end of the last pause.
+  /// Arrival of the last request, and end of the last pause.
   TimePoint m_last_arrival{};
   TimePoint m_resumed{};
   NodeCounters m_counters;
--- a/src/core/node_calls.cc
+++ b/src/core/node_calls.cc
@@ -1,4 +1,4 @@
-/// @file node_calls.cc A request's way through the pipeline.
+/// @file node_calls.cc Request pipeline of the decision core.
 
 #include <algorithm>
 
@@ -6,16 +6,16 @@
 #include "core/node.h"
 #include "core/timing_type.h"
 #include "pipeline/choose_place_filter.h"
-#include "pipeline/judge_filter.h"
+#include "pipeline/retry_filter.h"
 
 namespace sorrelplank {
 
 namespace {
 
-/// Callers that are refused come back no sooner than this.
-constexpr Duration kShortestRetryAfter = milliseconds(50);
-/// Holders that are told of a waiting request.
-constexpr size_t kMostWants = 3;
+/// Lower bound of the retry delay stated to refused callers.
+constexpr Duration kMinRetryAfter = milliseconds(50);
+/// Holders that are notified of a waiting request.
+constexpr size_t kMaxSlotRequestTargets = 3;
 
 KeyState ToKeyState(Verdict verdict) {
   switch (verdict) {
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-void Node::Decide(Call& call, const KeyDecision& decision) {
+void Node::ApplyKeyDecision(Call& call, const KeyDecision& decision) {
   if (std::holds_alternative<KeyProceed>(decision)) {
-    Place(call);
+    DispatchOrQueue(call);
     return;
   }
   if (const auto* replay = std::get_if<KeyReplay>(&decision)) {
@@ -44,7 +44,7 @@
     return;
   }
   if (const auto* refuse = std::get_if<KeyRefuse>(&decision)) {
-    // A repeat of a key in progress must not overwrite that key's record.
+    // A repeat of a key in progress must not overwrite the record of that key.
     const bool is_ours = m_keys.Find(call.m_key).m_request == call.m_request;
     if (!is_ours) {
       call.m_key = KeyHash();
@@ -52,30 +52,31 @@
     Refuse(call, refuse->m_reason, refuse->m_verdict, RetryAfter(call));
     return;
   }
-  const auto& ask = std::get<KeyAsk>(decision);
-  call.m_stage = CallStage::kAsking;
-  call.m_asks_open = static_cast<uint32_t>(ask.m_vms.size());
-  for (const TriedVm& vm : ask.m_vms) {
+  const auto& query = std::get<KeyQueryPeers>(decision);
+  call.m_stage = CallStage::kQueryingPeers;
+  call.m_pending_queries = static_cast<uint32_t>(query.m_vms.size());
+  for (const TriedVm& vm : query.m_vms) {
     const Member* member = m_membership.Find(vm.m_name);
     const VmAddress address =
         member == nullptr ? VmAddress{} : member->m_record.m_address;
-    Emit(AskSeen{call.m_request, vm.m_name, address, vm.m_incarnation,
-                 call.m_key, SendNumber(call.m_tried)});
+    Emit(QueryKeyState{call.m_request, vm.m_name, address, vm.m_incarnation,
+                       call.m_key, SendNumber(call.m_tried)});
   }
 }
 
-void Node::Place(Call& call) {
+void Node::DispatchOrQueue(Call& call) {
   if (!call.m_handed_on) {
     StateOf(call.m_service)
         .Budget()
-        .CountFirstTry(ConfigOf(call.m_service).m_retry_budget);
+        .CountFirstAttempt(ConfigOf(call.m_service).m_retry_budget);
   }
   if (TryDispatch(call)) {
     return;
   }
   if (call.m_handed_on) {
-    // Full: said at once, so that the entry VM loses one round trip only.
-    RememberRefused(call.m_service, call.m_from);
+    // Refused at once, so that the forwarding entry VM loses only one round
+    // trip.
+    AddSlotWaiter(call.m_service, call.m_from);
     Refuse(call, RefusalReason::kNoCapacity, Verdict::kNotRun,
            RetryAfter(call));
     return;
@@ -93,7 +94,7 @@
   call.m_backend = backend;
   call.m_attempt = AttemptId(m_next_attempt++);
   call.m_attempt_started = m_now;
-  ++call.m_backend_tries;
+  ++call.m_backend_attempts;
   call.m_tried_backends.push_back(*backend);
   m_attempts[call.m_attempt] = call.m_request;
   StateOf(call.m_service).Queue().CountRunning(call.m_caller, 1);
@@ -105,21 +106,21 @@
 
 bool Node::TryHandOn(Call& call, double cost_of_waiting) {
   const Route* route = ChoosePlaceFilter(*m_snapshot)
-                           .Apply(call, m_routes.Of(call.m_service),
+                           .Apply(call, m_routes.RoutesOf(call.m_service),
                                   StateOf(call.m_service).RunTime(),
                                   cost_of_waiting, m_random, m_now);
   if (route == nullptr) {
     return false;
   }
-  SlotBelief& belief = *route->m_belief;
-  belief.m_retry_at = TimePoint{};
-  belief.m_free -= belief.m_free > 0 ? 1 : 0;
+  SlotEstimate& estimate = *route->m_estimate;
+  estimate.m_retry_at = TimePoint{};
+  estimate.m_free -= estimate.m_free > 0 ? 1 : 0;
   const VmRecord& record = route->m_member->m_record;
   call.m_stage = CallStage::kRunning;
   call.m_peer = record.m_name;
   call.m_attempt = AttemptId(m_next_attempt++);
   call.m_attempt_started = m_now;
-  ++call.m_peer_tries;
+  ++call.m_peer_attempts;
   call.m_tried_peers.push_back(record.m_name);
   m_attempts[call.m_attempt] = call.m_request;
   ++m_counters.m_handed_on;
@@ -141,21 +142,21 @@
     return;
   }
   if (m_now + wait + state.RunTime() / 2 > call.m_deadline) {
-    // Waiting would end in a timeout. Saying so now lets the caller go
-    // elsewhere or come back, and keeps the queue for those who can be served.
+    // Waiting would end in a timeout. Refusing now lets the caller go elsewhere
+    // or retry, and keeps the queue for requests that can be served in time.
     Refuse(call, RefusalReason::kDeadlineTooShort, call.m_verdict,
            RetryAfter(call));
     return;
   }
   const size_t limit = ConfigOf(call.m_service).m_queue_limit;
-  const Waiting waiting{call.m_request, call.m_caller, call.m_deadline};
+  const QueuedRequest waiting{call.m_request, call.m_caller, call.m_deadline};
   if (!state.Queue().TryPush(waiting, limit)) {
     Refuse(call, RefusalReason::kNoCapacity, call.m_verdict, RetryAfter(call));
     return;
   }
   call.m_stage = CallStage::kWaiting;
   call.m_tried_peers.clear();
-  WantSlots(call);
+  RequestSlots(call);
   ++m_counters.m_queued;
 }
 
@@ -164,10 +165,11 @@
   const bool was_local = call.m_backend.has_value();
   const Duration took = m_now - call.m_attempt_started;
   if (!was_local && event.m_slots) {
-    m_membership.Believe(call.m_peer, *event.m_slots,
-                         event.m_outcome == AttemptOutcome::kPeerRefused
-                             ? m_now + event.m_retry_after
-                             : TimePoint{});
+    m_membership.UpdateSlotEstimate(
+        call.m_peer, *event.m_slots,
+        event.m_outcome == AttemptOutcome::kPeerRefused
+            ? m_now + event.m_retry_after
+            : TimePoint{});
   }
   if (was_local) {
     ReleaseSlot(call, event.m_outcome);
@@ -175,20 +177,20 @@
       StateOf(service).CountRun(took);
     }
   }
-  const JudgeDecision decision =
-      JudgeFilter(m_safeguards)
+  const RetryDecision decision =
+      RetryFilter(m_safeguards)
           .Apply(call, event.m_outcome, StateOf(service).Budget(), m_now);
   call.m_verdict =
       std::max(call.m_verdict, DescribeOutcome(event.m_outcome).m_verdict);
-  if (std::holds_alternative<JudgeForward>(decision)) {
+  if (std::holds_alternative<RetryNotNeeded>(decision)) {
     ++m_counters.m_answered;
     if (call.m_key != KeyHash()) {
       m_keys.End(call.m_key, KeyState::kRan);
     }
     Emit(ForwardAnswer{call.m_request, event.m_attempt});
     EndCall(call.m_request);
-  } else if (const auto* give_up = std::get_if<JudgeGiveUp>(&decision)) {
-    Refuse(call, give_up->m_reason, give_up->m_verdict, RetryAfter(call));
+  } else if (const auto* denied = std::get_if<RetryDenied>(&decision)) {
+    Refuse(call, denied->m_reason, denied->m_verdict, RetryAfter(call));
   } else if (!TryDispatch(call)) {
     WaitOrRefuse(call);
   }
@@ -198,34 +200,34 @@
   }
 }
 
-void Node::RememberRefused(NameHash service, const VmName& vm) {
+void Node::AddSlotWaiter(NameHash service, const VmName& vm) {
   const Member* member = m_membership.Find(vm);
   const auto place = member == nullptr
                          ? std::nullopt
                          : m_snapshot->FindPlace(member->m_record.m_place);
-  const bool is_near = place && m_snapshot->Get(*place).m_region ==
-                                    m_snapshot->Get(m_place).m_region;
-  if (is_near) {
-    StateOf(service).RememberRefused(vm, m_now);
+  const bool is_same_region = place && m_snapshot->Get(*place).m_region ==
+                                           m_snapshot->Get(m_place).m_region;
+  if (is_same_region) {
+    StateOf(service).AddSlotWaiter(vm, m_now);
   }
 }
 
-void Node::WantSlots(const Call& call) {
-  // Heartbeats are too rare to tell of a slot that lives for milliseconds, so
-  // the nearest holders are told that a request waits here.
+void Node::RequestSlots(const Call& call) {
+  // Heartbeats are too rare to report slots that are free for milliseconds
+  // only, so the nearest holders are notified that a request waits here.
   const ServiceSlots own = SlotsOf(call.m_service, m_now);
   const RegionId region = m_snapshot->Get(m_place).m_region;
-  size_t told = 0;
-  for (const Route& route : m_routes.Of(call.m_service)) {
+  size_t notified = 0;
+  for (const Route& route : m_routes.RoutesOf(call.m_service)) {
     const auto place = m_snapshot->FindPlace(route.m_place);
-    if (told == kMostWants || !place ||
+    if (notified == kMaxSlotRequestTargets || !place ||
         m_snapshot->Get(*place).m_region != region) {
       return;
     }
-    if (route.m_belief->m_held > 0) {
+    if (route.m_estimate->m_held > 0) {
       const VmRecord& record = route.m_member->m_record;
       Emit(SendSlotNotice{record.m_name, record.m_address, own, true});
-      ++told;
+      ++notified;
     }
   }
 }
@@ -235,7 +237,7 @@
   if (slots.m_free == 0) {
     return;
   }
-  const VmName vm = StateOf(service).TakeRefused(m_now);
+  const VmName vm = StateOf(service).TakeSlotWaiter(m_now);
   const Member* member = m_membership.Find(vm);
   if (member != nullptr) {
     Emit(SendSlotNotice{vm, member->m_record.m_address, slots, false});
@@ -244,14 +246,15 @@
 
 void Node::ReleaseSlot(Call& call, AttemptOutcome outcome) {
   HeldBackend* held = m_holdings.Find(*call.m_backend);
-  Invariant(held != nullptr, "a server with work in flight stays known");
-  const bool was_aside = held->IsSetAside(m_now);
+  Invariant(held != nullptr,
+            "a backend server with requests in flight is known");
+  const bool was_ejected = held->IsEjected(m_now);
   if (!m_safeguards.m_abort_grace &&
       outcome == AttemptOutcome::kDeadlineAfterSend) {
     outcome = AttemptOutcome::kNoAnswer;
   }
   held->Finish(outcome, m_now - call.m_attempt_started, m_now);
-  if (!was_aside && held->IsSetAside(m_now)) {
+  if (!was_ejected && held->IsEjected(m_now)) {
     Record(TimelineKind::kBackendSetAside,
            std::string("after ") + DescribeOutcome(outcome).m_name,
            call.m_service, call.m_request);
@@ -269,7 +272,7 @@
     }
     Call& call = m_calls.at(waiting->m_request);
     Invariant(call.m_stage == CallStage::kWaiting,
-              "a request in the queue waits");
+              "a queued request is in the waiting stage");
     if (TryDispatch(call)) {
       continue;
     }
@@ -281,7 +284,7 @@
     if (TryHandOn(call, cost)) {
       continue;
     }
-    state.Queue().Return(*waiting);
+    state.Queue().Requeue(*waiting);
     return;
   }
 }
@@ -313,12 +316,13 @@
            RetryAfter(call));
   }
   for (auto& [service, state] : m_services) {
-    // Those that can no longer be answered in time are told so now, not at
-    // their deadline.
+    // Requests that can no longer be answered in time are refused now instead
+    // of at their deadline.
     const TimePoint soonest = m_now + state.RunTime() / 2;
-    for (const Waiting& waiting : state.Queue().TakeExpired(soonest)) {
+    for (const QueuedRequest& waiting : state.Queue().TakeExpired(soonest)) {
       Call& call = m_calls.at(waiting.m_request);
-      call.m_stage = CallStage::kAsking;
+      // Any stage but kWaiting: it is no longer in the queue.
+      call.m_stage = CallStage::kQueryingPeers;
       Refuse(call, RefusalReason::kDeadlineTooShort, call.m_verdict,
              RetryAfter(call));
     }
@@ -380,13 +384,13 @@
 
 Duration Node::RetryAfter(const Call& call) {
   if (!m_snapshot || !m_snapshot->FindService(call.m_service)) {
-    return kShortestRetryAfter;
+    return kMinRetryAfter;
   }
   const ServiceState& state = StateOf(call.m_service);
   const ServiceSlots own =
       BackendFilter().CountSlots(call.m_service, m_holdings, m_now);
   const Duration wait = state.EstimateWait(own.m_held);
-  return call.m_handed_on ? wait : std::max(kShortestRetryAfter, 2 * wait);
+  return call.m_handed_on ? wait : std::max(kMinRetryAfter, 2 * wait);
 }
 
 ServiceState& Node::StateOf(NameHash service) {
--- a/src/core/node_counters_type.h
+++ b/src/core/node_counters_type.h
@@ -11,7 +11,7 @@
 
 namespace sorrelplank {
 
-/// Plain numbers that only grow; the process exports them as metrics.
+/// Monotonic counters; the process exports them as metrics.
 struct NodeCounters {
   uint64_t m_calls = 0;
   uint64_t m_handed_on_here = 0;
--- a/src/core/node_identity_type.h
+++ b/src/core/node_identity_type.h
@@ -1,4 +1,4 @@
-/// @file node_identity_type.h Who an entry VM is.
+/// @file node_identity_type.h Identity of an entry VM.
 
 #ifndef SORRELPLANK_CORE_NODE_IDENTITY_TYPE_H_
 #define SORRELPLANK_CORE_NODE_IDENTITY_TYPE_H_
@@ -10,7 +10,7 @@
 
 namespace sorrelplank {
 
-/// From the settings, and the moment of start.
+/// Values from the settings, and the incarnation chosen at start.
 struct NodeIdentity {
   VmName m_name;
   NameHash m_place;
@@ -21,8 +21,8 @@
   uint64_t m_seed = 0;
 };
 
-/// "NAME.INCARNATION.NUMBER": the request id that callers and backend servers
-/// see, and by which the time line is searched.
+/// Returns "NAME.INCARNATION.NUMBER", the request id that callers and backend
+/// servers see and by which the timeline is searched.
 std::string FormatRequestId(const NodeIdentity& identity, RequestId request);
 
 }  // namespace sorrelplank
--- a/src/core/node_membership.cc
+++ b/src/core/node_membership.cc
@@ -1,11 +1,11 @@
-/// @file node_membership.cc Heartbeats, holding, pauses and leaving.
+/// @file node_membership.cc Heartbeats, holdings, pauses and planned stops.
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <set>
 
-#include "core/backend_deal_func.h"
+#include "core/backend_assignment_func.h"
 #include "core/node.h"
 #include "core/timing_type.h"
 
@@ -13,9 +13,11 @@
 
 namespace {
 
-/// The VM of one place that speaks with another place: highest random weight,
-/// so that each VM speaks with a few places only and the work spreads.
-VmName Speaker(const std::vector<VmName>& vms, NameHash other_place) {
+/// Selects the VM of a place that exchanges gossip with another place. Highest
+/// random weight spreads the places over the VMs, so that each VM talks to few
+/// places.
+VmName ChooseGossipDelegate(const std::vector<VmName>& vms,
+                            NameHash other_place) {
   VmName best;
   uint64_t best_weight = 0;
   for (const VmName& vm : vms) {
@@ -44,8 +46,8 @@
                                        bool wants_all,
                                        TimePoint now) {
   std::vector<VmRecord> records;
-  // Each record has a number of its own: the receiver drops one that it
-  // believes to have seen.
+  // Each record needs its own sequence number, since the receiver drops one
+  // that it has already seen.
   ++m_sequence;
   records.push_back(SelfRecord());
   const bool is_sibling = place == m_identity.m_place;
@@ -76,15 +78,16 @@
   return records;
 }
 
-std::vector<VmRecord> Node::NewsForSiblings() {
-  // What came from other places since the last heartbeat, and only if it came
-  // to us: what a sibling told us it told the others too. Telling everything
-  // each time would cost a factor of the siblings.
+std::vector<VmRecord> Node::RecordsForSiblings() {
+  // Relays records that reached this VM from other places since the last
+  // heartbeat. Records received from a sibling are left out, as that sibling
+  // sent them to all others too. Sending everything each time would multiply
+  // the traffic by the number of siblings.
   auto records = RecordsFor(m_identity.m_place, false, m_now);
   for (auto& [name, member] : m_membership.All()) {
-    if (member.m_is_news) {
+    if (member.m_is_relay_pending) {
       records.push_back(member.m_record);
-      member.m_is_news = false;
+      member.m_is_relay_pending = false;
     }
   }
   return records;
@@ -93,15 +96,15 @@
 void Node::Send(const VmName& vm,
                 VmAddress address,
                 std::vector<VmRecord> records) {
-  const bool wants_all = m_now - m_started < kTakeoverHorizon;
+  const bool wants_all = m_now - m_started < kTakeoverTimeout;
   Emit(SendGossip{vm, address, std::move(records), wants_all});
 }
 
 void Node::Heartbeat() {
-  const bool changed = NoteMembershipChanges();
-  const bool forgot = m_membership.Forget(m_now);
-  SettleHoldings();
-  if (changed || forgot) {
+  const bool changed = RecordMembershipChanges();
+  const bool has_removed_members = m_membership.RemoveExpired(m_now);
+  ReconcileHoldings();
+  if (changed || has_removed_members) {
     RebuildTables();
   }
   SendToSiblings();
@@ -110,7 +113,7 @@
 }
 
 void Node::SendToSiblings() {
-  const auto records = NewsForSiblings();
+  const auto records = RecordsForSiblings();
   for (const auto& [name, member] : m_membership.All()) {
     if (member.m_record.m_place == m_identity.m_place) {
       Send(name, member.m_record.m_address, records);
@@ -127,23 +130,24 @@
   }
   places.erase(m_identity.m_place);
   for (const NameHash place : places) {
-    if (Speaker(ours, place) != m_identity.m_name) {
+    if (ChooseGossipDelegate(ours, place) != m_identity.m_name) {
       continue;
     }
     const auto live = m_membership.LiveOf(place, m_now);
     if (live.empty()) {
       continue;
     }
-    const Member* to =
-        m_membership.Find(Speaker(NamesOf(live), m_identity.m_place));
+    const Member* to = m_membership.Find(
+        ChooseGossipDelegate(NamesOf(live), m_identity.m_place));
     Send(to->m_record.m_name, to->m_record.m_address,
          RecordsFor(place, false, m_now));
   }
 }
 
 void Node::SendToSeed() {
-  // One address at each heartbeat, in turn, unless it is a live member
-  // already. This makes first contact, and finds places again after a cut.
+  // Sends to one seed per heartbeat, in turn, skipping addresses of live
+  // members. This makes first contact, and finds places again after a network
+  // partition.
   for (size_t tries = 0; tries < m_seeds.size(); ++tries) {
     const VmAddress seed = m_seeds[m_next_seed++ % m_seeds.size()];
     const bool is_live =
@@ -159,35 +163,36 @@
   }
 }
 
-std::vector<VmName> Node::VmsThatMayHold() {
+std::vector<VmName> Node::EligibleHolders() {
   std::vector<VmName> vms;
   auto may_hold = [&](const VmRecord& record) {
     const auto& leaving = m_snapshot->m_leaving_vms;
-    const bool is_told = std::find(leaving.begin(), leaving.end(),
-                                   record.m_name) != leaving.end();
-    return record.m_ready && !record.m_leaving && !is_told;
+    const bool is_leaving_by_config = std::find(leaving.begin(), leaving.end(),
+                                                record.m_name) != leaving.end();
+    return record.m_ready && !record.m_leaving && !is_leaving_by_config;
   };
   for (const Member* member : m_membership.LiveSiblings(m_now)) {
     if (may_hold(member->m_record)) {
       vms.push_back(member->m_record.m_name);
     }
   }
-  // The last one of a place holds on until it exits: nobody else could.
+  // The last VM of a place keeps its servers until it exits, as no other VM
+  // could take them.
   if (may_hold(SelfRecord()) || vms.empty()) {
     vms.push_back(m_identity.m_name);
   }
   return vms;
 }
 
-void Node::SettleHoldings() {
+void Node::ReconcileHoldings() {
   if (!m_snapshot) {
     return;
   }
-  const std::vector<VmName> vms = VmsThatMayHold();
+  const std::vector<VmName> vms = EligibleHolders();
   const auto before = m_holdings.DispatchableBackends();
   const Holdings::View view{*m_snapshot, m_place, vms, m_membership,
                             m_sequence + 1};
-  if (!m_holdings.Settle(view, m_now)) {
+  if (!m_holdings.Reconcile(view, m_now)) {
     return;
   }
   const auto after = m_holdings.DispatchableBackends();
@@ -201,8 +206,8 @@
     Record(TimelineKind::kBackendReleased,
            std::to_string(before.size() - after.size()) + " released");
   }
-  // Siblings wait for a record with the change; it goes out at the next tick
-  // and not at the next interval.
+  // Siblings wait for a record with the change, so it is sent at the next tick
+  // instead of the next interval.
   m_next_heartbeat = m_now;
 }
 
@@ -234,13 +239,14 @@
     return;
   }
   m_resumed = now;
-  // Our clock jumped: the process or its VM stood still, unaware of it. Others
-  // may have taken over what we held. Symptom without this: a backend server
-  // gets requests from two holders and is pushed past its slots. Sufficient
-  // because a successor waits twice as long as the jump that we notice, and
-  // because we hold again only after each sibling's record shows that it has
-  // heard a claim of ours from after the pause. Any record would not do:
-  // heartbeats from before the takeover may have waited in our socket.
+  // The local clock jumped: the process or its VM was paused without notice,
+  // and others may have taken over its servers. Without this check, a backend
+  // server gets requests from two holders and more than its slots. The check
+  // suffices because a successor waits twice as long as the smallest jump
+  // detected here, and because servers are held again only after each sibling's
+  // record shows that it heard a claim sent after the pause. An arbitrary
+  // record would not do: heartbeats from before the takeover may have waited in
+  // our socket.
   ++m_counters.m_fences;
   m_holdings.Demote(m_membership, m_identity.m_place, m_sequence + 1, now);
   m_next_heartbeat = now;
@@ -253,11 +259,11 @@
   }
   const Duration ttl =
       m_snapshot ? m_snapshot->m_policy.m_lookup_ttl : Duration::zero();
-  // Callers may use an answer that names us for one time to live after the
-  // last VM stopped naming us.
+  // Callers may use an answer that lists this VM for one TTL after the last VM
+  // stopped listing it.
   const TimePoint last_use = m_stop_requested + ttl + kRemoteTimeout;
-  // After a pause, and after a request that came all the same, more may wait
-  // in our sockets. Exiting at once would cut them off.
+  // After a pause, or after a request that arrived in spite of the stop, more
+  // requests may wait in the sockets. Exiting at once would cut them off.
   const TimePoint quiet_since = std::max(m_last_arrival, m_resumed);
   if (m_now < last_use || m_now - quiet_since < kHeartbeatInterval) {
     return;
@@ -267,44 +273,45 @@
   Emit(ExitProcess{});
 }
 
-void Node::HearNamesake(const VmRecord& record) {
+void Node::HandleDuplicateProcess(const VmRecord& record) {
   if (m_is_replaced) {
     return;
   }
   const bool is_new =
-      !m_namesake || m_namesake->m_incarnation != record.m_incarnation;
+      !m_duplicate || m_duplicate->m_incarnation != record.m_incarnation;
   if (is_new) {
-    m_namesake = Namesake{record.m_incarnation, record.m_sequence, m_now};
+    m_duplicate =
+        DuplicateProcess{record.m_incarnation, record.m_sequence, m_now};
     return;
   }
-  if (record.m_sequence <= m_namesake->m_sequence) {
+  if (record.m_sequence <= m_duplicate->m_sequence) {
     return;
   }
-  // It lives: we were declared dead and replaced. Whatever we hold may be its
-  // by now. One record alone would not do: it may be the last one of a
-  // predecessor whose clock was ahead of ours, still passed around.
+  // The other process is alive: this one was declared dead and replaced, so the
+  // other may hold our servers by now. A single record is no proof: it may be
+  // the last one of a predecessor whose clock was ahead, still being relayed.
   m_is_replaced = true;
   Record(TimelineKind::kReplaced, "a newer process uses our name");
   m_holdings.Retire();
 }
 
-void Node::OutbidNamesake() {
-  const bool is_silent = m_namesake && !m_is_replaced &&
-                         m_now - m_namesake->m_since >= kTakeoverHorizon;
+void Node::RaiseIncarnation() {
+  const bool is_silent = m_duplicate && !m_is_replaced &&
+                         m_now - m_duplicate->m_since >= kTakeoverTimeout;
   if (!is_silent) {
     return;
   }
-  // The predecessor is dead, but as long as our incarnation is below its, all
-  // others hold our heartbeats for old ones.
-  m_identity.m_incarnation = Incarnation(m_namesake->m_incarnation.Get() + 1);
-  m_namesake.reset();
+  // The predecessor is dead, but as long as our incarnation is lower than its,
+  // all other VMs discard our heartbeats as old ones.
+  m_identity.m_incarnation = Incarnation(m_duplicate->m_incarnation.Get() + 1);
+  m_duplicate.reset();
   m_membership.SetIncarnation(m_identity.m_incarnation);
   m_holdings.SetIncarnation(m_identity.m_incarnation);
   m_key_filter = KeyFilter(m_identity.m_name, m_identity.m_incarnation);
   m_next_heartbeat = m_now;
 }
 
-void Node::MeetNamedSiblings(const VmRecord& record) {
+void Node::ContactUnknownSiblings(const VmRecord& record) {
   for (const HeardHeartbeat& heard : record.m_heard) {
     const bool is_new =
         heard.m_name != m_identity.m_name && !m_membership.Knows(heard.m_name);
@@ -315,13 +322,14 @@
   }
 }
 
-bool Node::NoteMembershipChanges() {
+bool Node::RecordMembershipChanges() {
   bool changed = false;
   std::map<VmName, bool> alive;
   for (const auto& [name, member] : m_membership.All()) {
     alive[name] = m_membership.IsAlive(member, m_now);
-    const auto before = m_alive_before.find(name);
-    const bool was_alive = before != m_alive_before.end() && before->second;
+    const auto before = m_previous_liveness.find(name);
+    const bool was_alive =
+        before != m_previous_liveness.end() && before->second;
     changed |= alive[name] != was_alive;
     if (alive[name] && !was_alive) {
       Record(TimelineKind::kVmUp, name);
@@ -329,7 +337,7 @@
       Record(TimelineKind::kVmDown, name);
     }
   }
-  m_alive_before = std::move(alive);
+  m_previous_liveness = std::move(alive);
   return changed;
 }
 
@@ -346,7 +354,7 @@
   record.m_config_version =
       m_snapshot ? m_snapshot->m_version : ConfigVersion();
   record.m_slots = Slots(m_now);
-  record.m_holdings = m_holdings.Listed(m_now);
+  record.m_holdings = m_holdings.ListedBackends(m_now);
   for (const Member* member : m_membership.LiveSiblings(m_now)) {
     const VmRecord& sibling = member->m_record;
     record.m_heard.push_back({sibling.m_name, sibling.m_incarnation,
--- a/src/core/rate_window.h
+++ b/src/core/rate_window.h
@@ -1,4 +1,4 @@
-/// @file rate_window.h A limit on events in any second.
+/// @file rate_window.h Sliding-window limit on events per second.
 
 #ifndef SORRELPLANK_CORE_RATE_WINDOW_H_
 #define SORRELPLANK_CORE_RATE_WINDOW_H_
@@ -10,14 +10,14 @@
 
 namespace sorrelplank {
 
-/// Counts events over a little more than a second, in ticks of a tenth.
+/// Counts events over a little more than a second, in buckets of 100 ms.
 ///
-/// The window always covers the current tick and the ten before it. Hence no
-/// span of one second, wherever it starts, holds more events than the limit;
-/// a plain token bucket would let through twice the limit around a refill.
+/// The window always covers the current bucket and the ten before it. Hence no
+/// span of one second, wherever it starts, holds more events than the limit; a
+/// plain token bucket would allow twice the limit around a refill.
 class RateWindow {
  public:
-  /// What the window covers at the most.
+  /// Longest time that the window covers.
   static constexpr Duration kSpan = milliseconds(1100);
 
   /// Counts one event if the limit allows it.
@@ -27,13 +27,13 @@
   uint32_t Count(TimePoint now);
 
  private:
-  static constexpr int kTicks = 11;
-  static constexpr Duration kTick = milliseconds(100);
+  static constexpr int kBucketCount = 11;
+  static constexpr Duration kBucketWidth = milliseconds(100);
 
-  void Roll(TimePoint now);
+  void Advance(TimePoint now);
 
-  std::array<uint32_t, kTicks> m_counts{};
-  int64_t m_tick = 0;
+  std::array<uint32_t, kBucketCount> m_counts{};
+  int64_t m_current_bucket = 0;
   uint32_t m_sum = 0;
 };
 
--- a/src/core/refusal.cc
+++ b/src/core/refusal.cc
@@ -1,4 +1,4 @@
-/// @file refusal.cc Look-up in the refusal table.
+/// @file refusal.cc Lookup in the refusal table.
 
 #include "core/refusal_type.h"
 
--- a/src/core/refusal_type.h
+++ b/src/core/refusal_type.h
@@ -1,4 +1,4 @@
-/// @file refusal_type.h Why a request was given up.
+/// @file refusal_type.h Reasons for refusing a request.
 
 #ifndef SORRELPLANK_CORE_REFUSAL_TYPE_H_
 #define SORRELPLANK_CORE_REFUSAL_TYPE_H_
@@ -7,19 +7,20 @@
 
 namespace sorrelplank {
 
-/// Reasons as callers and operators read them; rows of table/refusal_table.h.
+/// Refusal reasons as shown to callers and operators, in the order of
+/// table/refusal_table.h.
 enum class RefusalReason : uint8_t {
-  kUnknownService,  ///< No such service in the configuration in force.
-  kBodyTooLarge,    ///< The body exceeds the service's limit.
-  kNotReady,        ///< This entry VM has no configuration yet.
-  kNoCapacity,      ///< No slot anywhere that it may take, and no room to wait.
-  kDeadlineTooShort,  ///< It cannot be answered before its deadline.
+  kUnknownService,    ///< No such service in the configuration in force.
+  kBodyTooLarge,      ///< The body exceeds the service's limit.
+  kNotReady,          ///< This entry VM has no configuration yet.
+  kNoCapacity,        ///< No free slot that it may take, and no room to queue.
+  kDeadlineTooShort,  ///< It could not be answered before its deadline.
   kDeadlinePassed,    ///< The deadline passed while it waited or ran.
-  kBackendFailed,     ///< Tries failed and no further one is allowed.
-  kRepeatInProgress,  ///< The same key is being worked on.
-  kRepeatUnsure,      ///< An earlier try with this key may have run.
-  kRepeatAnswerGone,  ///< It ran, and its answer is no longer kept.
-  kSuperseded,        ///< A repeat of it was already taken elsewhere.
+  kBackendFailed,     ///< Attempts failed and no further one is allowed.
+  kRepeatInProgress,  ///< A request with the same key is in progress.
+  kRepeatUnsure,      ///< An earlier request with this key may have run.
+  kRepeatAnswerGone,  ///< It ran, but its answer is no longer kept.
+  kSuperseded,        ///< A repeat of it was already accepted elsewhere.
   kCallerLeft,        ///< The caller closed the connection.
   kStopping,          ///< This entry VM is about to exit.
   kCount
@@ -33,7 +34,7 @@
   const char* m_help;
 };
 
-/// The row of a reason.
+/// Returns the row of a reason.
 const RefusalRow& DescribeRefusal(RefusalReason reason);
 
 }  // namespace sorrelplank
--- a/src/core/request_digest.cc
+++ b/src/core/request_digest.cc
@@ -1,4 +1,4 @@
-/// @file request_digest.cc Digests as text.
+/// @file request_digest.cc Hexadecimal text of digests.
 
 #include <array>
 #include <charconv>
@@ -9,23 +9,23 @@
 
 namespace {
 
-constexpr size_t kDigitsOfHalf = 16;
-constexpr int kHexadecimal = 16;
+constexpr size_t kHexDigitsPerHalf = 16;
+constexpr int kHexBase = 16;
 
 void AppendHalf(uint64_t half, std::string& text) {
-  std::array<char, kDigitsOfHalf> digits{};
+  std::array<char, kHexDigitsPerHalf> digits{};
   const char* const end =
       std::to_chars(digits.data(), digits.data() + digits.size(), half,
-                    kHexadecimal)
+                    kHexBase)
           .ptr;
   const auto count = static_cast<size_t>(end - digits.data());
-  text.append(kDigitsOfHalf - count, '0');
+  text.append(kHexDigitsPerHalf - count, '0');
   text.append(digits.data(), count);
 }
 
 uint64_t ParseHalf(const char* begin) {
   uint64_t half = 0;
-  std::from_chars(begin, begin + kDigitsOfHalf, half, kHexadecimal);
+  std::from_chars(begin, begin + kHexDigitsPerHalf, half, kHexBase);
   return half;
 }
 
@@ -41,11 +41,11 @@
 std::optional<RequestDigest> ParseDigest(const std::string& text) {
   const bool has_digits_only =
       text.find_first_not_of("0123456789abcdef") == std::string::npos;
-  if (text.size() != 2 * kDigitsOfHalf || !has_digits_only) {
+  if (text.size() != 2 * kHexDigitsPerHalf || !has_digits_only) {
     return std::nullopt;
   }
   return RequestDigest{.m_high = ParseHalf(text.data()),
-                       .m_low = ParseHalf(text.data() + kDigitsOfHalf)};
+                       .m_low = ParseHalf(text.data() + kHexDigitsPerHalf)};
 }
 
 }  // namespace sorrelplank
--- a/src/core/request_digest_type.h
+++ b/src/core/request_digest_type.h
@@ -1,4 +1,4 @@
-/// @file request_digest_type.h What makes two requests the same one.
+/// @file request_digest_type.h Digest that identifies repeats of a request.
 
 #ifndef SORRELPLANK_CORE_REQUEST_DIGEST_TYPE_H_
 #define SORRELPLANK_CORE_REQUEST_DIGEST_TYPE_H_
@@ -12,8 +12,8 @@
 
 namespace sorrelplank {
 
-/// 128-bit hash of what a caller asks for, and of the caller. It stays the same
-/// when the caller asks again, at whichever entry VM.
+/// 128-bit hash of the content of a request and of its caller. It stays the
+/// same when the caller sends the request again, at any entry VM.
 struct RequestDigest {
   uint64_t m_high = 0;
   uint64_t m_low = 0;
@@ -21,10 +21,10 @@
   auto operator<=>(const RequestDigest&) const = default;
 };
 
-/// 32 lower-case hexadecimal digits.
+/// Returns 32 lower-case hexadecimal digits.
 std::string FormatDigest(const RequestDigest& digest);
 
-/// Nothing unless the text is what FormatDigest writes.
+/// Returns nothing unless the text has the format of FormatDigest.
 std::optional<RequestDigest> ParseDigest(const std::string& text);
 
 }  // namespace sorrelplank
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -1,4 +1,4 @@
-/// @file retry_budget.h Bounds second tries by first tries.
+/// @file retry_budget.h Bounds retries by the number of first attempts.
 
 #ifndef SORRELPLANK_CORE_RETRY_BUDGET_H_
 #define SORRELPLANK_CORE_RETRY_BUDGET_H_
@@ -7,18 +7,18 @@
 
 namespace sorrelplank {
 
-/// Each first try earns a fraction of a second try. When everything fails,
-/// tries grow by that fraction at the most and not by a factor: without the
-/// budget an overloaded place would be hit hardest just when it can least
-/// take it.
+/// Each first attempt earns a fraction of a retry. When everything fails, the
+/// load grows by that fraction at most instead of by a factor. Without the
+/// budget, retries would add most load to a place when it is overloaded
+/// already.
 class RetryBudget {
  public:
-  /// Earns the fraction.
-  void CountFirstTry(double fraction) {
-    m_tokens = std::min(kMostTokens, m_tokens + fraction);
+  /// Adds the fraction earned by a first attempt.
+  void CountFirstAttempt(double fraction) {
+    m_tokens = std::min(kMaxTokens, m_tokens + fraction);
   }
 
-  /// Spends one second try, if one was earned.
+  /// Spends one retry, if one has been earned.
   bool TrySpend() {
     if (m_tokens < 1) {
       return false;
@@ -28,9 +28,9 @@
   }
 
  private:
-  static constexpr double kMostTokens = 10;
+  static constexpr double kMaxTokens = 10;
 
-  double m_tokens = kMostTokens;
+  double m_tokens = kMaxTokens;
 };
 
 }  // namespace sorrelplank
--- a/src/core/route_table.cc
+++ b/src/core/route_table.cc
@@ -1,4 +1,4 @@
-/// @file route_table.cc Building of the route table.
+/// @file route_table.cc Construction of the route table.
 
 #include "core/route_table.h"
 
@@ -21,8 +21,9 @@
       continue;
     }
     const Duration latency = PlaceLatency(snapshot, own_place, *place);
-    for (auto& [service, belief] : member.m_beliefs) {
-      m_routes[service].push_back({&member, &belief, record.m_place, latency});
+    for (auto& [service, estimate] : member.m_slot_estimates) {
+      m_routes[service].push_back(
+          {&member, &estimate, record.m_place, latency});
     }
   }
   for (auto& [service, routes] : m_routes) {
@@ -33,7 +34,7 @@
   }
 }
 
-const std::vector<Route>& RouteTable::Of(NameHash service) const {
+const std::vector<Route>& RouteTable::RoutesOf(NameHash service) const {
   static const std::vector<Route> none;
   const auto it = m_routes.find(service);
   return it == m_routes.end() ? none : it->second;
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -1,4 +1,4 @@
-/// @file route_table.h Other entry VMs by nearness, for handing on.
+/// @file route_table.h Other entry VMs by latency, for forwarding requests.
 
 #ifndef SORRELPLANK_CORE_ROUTE_TABLE_H_
 #define SORRELPLANK_CORE_ROUTE_TABLE_H_
@@ -13,35 +13,36 @@
 
 namespace sorrelplank {
 
-/// One entry VM that may take requests of one service.
+/// An entry VM that may take requests of one service.
 struct Route {
   Member* m_member = nullptr;
-  SlotBelief* m_belief = nullptr;
+  SlotEstimate* m_estimate = nullptr;
   NameHash m_place;
-  /// One way, from the configuration.
+  /// One-way latency, from the configuration.
   Duration m_latency{};
 };
 
-/// Routes per service, nearest first. Built anew when membership or
-/// configuration changes, so that a decision walks a plain array.
+/// Routes per service, nearest first. Rebuilt when membership or configuration
+/// changes, so that a routing decision only iterates over an array.
 class RouteTable {
  public:
-  /// Lists every live VM that is ready, not leaving and at a place that is
-  /// not leaving. The members must outlive the table's next build.
+  /// Builds the routes from all live VMs that are ready, not leaving and, with
+  /// skip_leaving, not at a leaving place. The members must stay valid until
+  /// the next build.
   void Build(const Snapshot& snapshot,
              PlaceId own_place,
              Membership& membership,
              bool skip_leaving,
              TimePoint now);
 
-  /// Routes of a service.
-  const std::vector<Route>& Of(NameHash service) const;
+  /// Returns the routes of a service.
+  const std::vector<Route>& RoutesOf(NameHash service) const;
 
  private:
   std::unordered_map<NameHash, std::vector<Route>> m_routes;
 };
 
-/// One-way latency between two places by their regions and domains.
+/// Returns the one-way latency between two places, by their regions.
 Duration PlaceLatency(const Snapshot& snapshot, PlaceId a, PlaceId b);
 
 }  // namespace sorrelplank
--- a/src/core/snapshot.cc
+++ b/src/core/snapshot.cc
@@ -1,4 +1,4 @@
-/// @file snapshot.cc Look-ups in a snapshot.
+/// @file snapshot.cc Index and lookups of a snapshot.
 
 #include "core/snapshot_type.h"
 
--- a/src/core/snapshot_type.h
+++ b/src/core/snapshot_type.h
@@ -1,4 +1,5 @@
-/// @file snapshot_type.h One checked configuration, as all decisions read it.
+/// @file snapshot_type.h A checked configuration in the form that decisions
+/// use.
 
 #ifndef SORRELPLANK_CORE_SNAPSHOT_TYPE_H_
 #define SORRELPLANK_CORE_SNAPSHOT_TYPE_H_
@@ -21,37 +22,37 @@
   NameHash m_hash;
 };
 
-/// Fails as one; has its own entry VMs and backend servers.
+/// A unit that fails as a whole; it has its own entry VMs and backend servers.
 struct FailureDomain {
   std::string m_name;
   RegionId m_region;
 };
 
-/// Where clients are at home and backend servers stand.
+/// Home of callers and location of backend servers.
 struct Place {
   std::string m_name;
   NameHash m_hash;
   DomainId m_domain;
   RegionId m_region;
-  /// Requests in flight at once over all its backend servers.
+  /// Maximum of concurrent requests over all its backend servers.
   uint32_t m_request_cap = 0;
-  /// Requests a second from callers whose home is another place.
+  /// Maximum of requests per second from callers whose home is another place.
   uint32_t m_shift_cap = 0;
   bool m_leaving = false;
 };
 
-/// What callers ask for.
+/// A service that callers can request.
 struct Service {
   std::string m_name;
   NameHash m_hash;
   bool m_idempotent = false;
   Duration m_deadline{};
-  /// Second tries allowed per first try, as a fraction.
+  /// Retries allowed per first attempt, as a fraction.
   double m_retry_budget = 0;
-  uint32_t m_body_limit = 0;
-  /// Requests that one entry VM lets wait for a slot.
+  uint32_t m_body_limit_bytes = 0;
+  /// Requests that may wait for a slot at one entry VM.
   uint32_t m_queue_limit = 0;
-  /// Expected time of one run, before any was measured.
+  /// Expected run time, used until one has been measured.
   Duration m_expected_run{};
 };
 
@@ -63,18 +64,20 @@
   PlaceId m_place;
   std::string m_ip;
   uint16_t m_port = 0;
-  /// Requests in flight at once: slots, cut to its part of the place's cap.
+  /// Maximum of concurrent requests: its configured slots, reduced to its part
+  /// of the request cap of the place.
   uint32_t m_slots = 0;
   uint32_t m_connections = 0;
-  /// Its part of the place's shift cap. Parts are fixed by the configuration,
-  /// so they sum to at most the cap whoever holds the servers.
+  /// Its part of the shift cap of the place. Parts are fixed by the
+  /// configuration, so their sum never exceeds the cap, whichever VMs hold the
+  /// servers.
   uint32_t m_shift_share = 0;
-  /// Its part of the cap of each region's link to here; by region.
+  /// Its part of the cap of each region's link to here, indexed by region.
   std::vector<uint32_t> m_link_shares;
   bool m_leaving = false;
 };
 
-/// Limit of the link between two regions, requests a second each way.
+/// Limit of the link between two regions, in requests per second each way.
 struct RegionLink {
   RegionId m_a;
   RegionId m_b;
@@ -89,8 +92,8 @@
   uint32_t m_percent = 0;
 };
 
-/// How much each measure weighs in the choice of a place, and the share of
-/// free slots that only callers at home may take.
+/// Weights in the choice of a place, and the percentage of the slots held that
+/// is kept free of callers from other regions.
 struct Policy {
   double m_latency_weight = 0.5;
   double m_headroom_weight = 0.5;
@@ -102,7 +105,7 @@
   Duration m_repeat_window{};
 };
 
-/// All of it.
+/// A complete configuration.
 struct Snapshot {
   ConfigVersion m_version;
   std::vector<Region> m_regions;
@@ -116,15 +119,16 @@
   ClientBlockMap m_client_blocks;
   Policy m_policy;
 
-  /// From the hash of a name to the index of its row; see IndexNames.
+  /// Maps the hash of a name to the index of its row; filled by IndexNames.
   std::unordered_map<NameHash, ServiceId> m_service_ids;
   std::unordered_map<NameHash, PlaceId> m_place_ids;
   std::unordered_map<NameHash, BackendId> m_backend_ids;
 
-  /// Fills the maps above once the tables are complete.
+  /// Fills the maps above. Call it when the tables are complete.
   void IndexNames();
 
-  /// Index of a service, place or backend server by its name's hash.
+  /// Returns the index of a service, place or backend server by the hash of its
+  /// name.
   std::optional<ServiceId> FindService(NameHash hash) const;
   std::optional<PlaceId> FindPlace(NameHash hash) const;
   std::optional<BackendId> FindBackend(NameHash hash) const;
@@ -133,7 +137,7 @@
   const Place& Get(PlaceId id) const { return m_places[id.Get()]; }
   const BackendServer& Get(BackendId id) const { return m_backends[id.Get()]; }
 
-  /// True where the link between two regions has a cap.
+  /// Whether the link between two regions has a cap.
   bool HasLinkCap(RegionId a, RegionId b) const;
 };
 
--- a/src/core/strong_type.h
+++ b/src/core/strong_type.h
@@ -1,4 +1,4 @@
-/// @file strong_type.h Integers that the compiler keeps apart by purpose.
+/// @file strong_type.h Integer types that cannot be mixed up.
 
 #ifndef SORRELPLANK_CORE_STRONG_TYPE_H_
 #define SORRELPLANK_CORE_STRONG_TYPE_H_
@@ -18,10 +18,10 @@
   constexpr StrongType() = default;
   constexpr explicit StrongType(Rep value) : m_value(value) {}
 
-  /// The bare number, for indexing, hashing and printing.
+  /// The plain number, for indexing, hashing and printing.
   constexpr Rep Get() const { return m_value; }
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): false alarm of this version.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of this version.
   constexpr auto operator<=>(const StrongType&) const = default;
 
  private:
--- a/src/core/time_type.h
+++ b/src/core/time_type.h
@@ -1,4 +1,5 @@
-/// @file time_type.h Time as the decision core sees it: always handed in.
+/// @file time_type.h Time types of the decision core, which reads no clock
+/// itself.
 
 #ifndef SORRELPLANK_CORE_TIME_TYPE_H_
 #define SORRELPLANK_CORE_TIME_TYPE_H_
@@ -12,7 +13,7 @@
 using std::chrono::seconds;
 
 using Duration = std::chrono::microseconds;
-/// A moment of one process's monotonic clock.
+/// A point on the monotonic clock of one process.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 /// Milliseconds as a fraction, for scores and reports.
--- a/src/core/timeline_event.cc
+++ b/src/core/timeline_event.cc
@@ -1,4 +1,4 @@
-/// @file timeline_event.cc Names of the kinds.
+/// @file timeline_event.cc Names of timeline event kinds.
 
 #include "core/timeline_event_type.h"
 
--- a/src/core/timeline_event_type.h
+++ b/src/core/timeline_event_type.h
@@ -1,4 +1,4 @@
-/// @file timeline_event_type.h Entries of the time line.
+/// @file timeline_event_type.h Events of the timeline.
 
 #ifndef SORRELPLANK_CORE_TIMELINE_EVENT_TYPE_H_
 #define SORRELPLANK_CORE_TIMELINE_EVENT_TYPE_H_
@@ -8,7 +8,7 @@
 
 namespace sorrelplank {
 
-/// Kinds of events; names in table/timeline_table.h.
+/// Kinds of timeline events; their names are in table/timeline_table.h.
 enum class TimelineKind : uint8_t {
   kStarted,
   kReady,
@@ -32,10 +32,10 @@
   kCount
 };
 
-/// Name of a kind as filters take it.
+/// Returns the name of a kind, as used in filters.
 const char* TimelineKindName(TimelineKind kind);
 
-/// Something that happened, without its moment.
+/// A timeline event without its time.
 struct TimelineEvent {
   TimelineKind m_kind = TimelineKind::kStarted;
   std::string m_service;
--- a/src/core/verdict_type.h
+++ b/src/core/verdict_type.h
@@ -7,15 +7,15 @@
 
 namespace sorrelplank {
 
-/// What is known of a request's run at a backend server.
-/// The numbers travel between processes; never renumber.
+/// What is known about whether a request ran at a backend server. The values
+/// are sent between processes; never renumber them.
 enum class Verdict : uint8_t {
-  kNotRun = 0,      ///< It certainly did not run; trying again is safe.
-  kMayHaveRun = 1,  ///< Nobody can tell; only idempotent requests go again.
+  kNotRun = 0,      ///< It certainly did not run; a retry is safe.
+  kMayHaveRun = 1,  ///< It may have run; only idempotent requests are retried.
   kRan = 2,         ///< A backend server ran it and answered.
 };
 
-/// The verdict as callers read it in a header.
+/// Returns the name of the verdict in the response header.
 const char* VerdictName(Verdict verdict);
 
 }  // namespace sorrelplank
--- a/src/core/vm_record.cc
+++ b/src/core/vm_record.cc
@@ -1,4 +1,4 @@
-/// @file vm_record.cc Notation of IPv4 addresses.
+/// @file vm_record.cc Text form of IPv4 addresses and request ids.
 
 #include "core/node_identity_type.h"
 #include "core/vm_record_type.h"
--- a/src/core/wait_queue.cc
+++ b/src/core/wait_queue.cc
@@ -1,4 +1,4 @@
-/// @file wait_queue.cc Fair order of waiting requests.
+/// @file wait_queue.cc Order and limits of queued requests.
 
 #include "core/wait_queue.h"
 
@@ -7,49 +7,51 @@
 
 namespace sorrelplank {
 
-bool WaitQueue::TryPush(const Waiting& waiting, size_t limit) {
+bool WaitQueue::TryPush(const QueuedRequest& waiting, size_t limit) {
   if (m_waiting.size() >= limit) {
     return false;
   }
-  // One caller may fill three quarters of the queue, so that a wave of it
-  // always leaves room for others.
+  // One caller may fill at most three quarters of the queue, so that a burst of
+  // it always leaves room for others.
   const size_t caller_limit = std::max<size_t>(1, limit * 3 / 4);
-  if (Waits(waiting.m_caller) >= caller_limit) {
+  if (CountWaiting(waiting.m_caller) >= caller_limit) {
     return false;
   }
   m_waiting.push_back(waiting);
   return true;
 }
 
-void WaitQueue::Return(const Waiting& waiting) {
+void WaitQueue::Requeue(const QueuedRequest& waiting) {
   m_waiting.push_back(waiting);
 }
 
-std::optional<Waiting> WaitQueue::Pop() {
+std::optional<QueuedRequest> WaitQueue::Pop() {
   if (m_waiting.empty()) {
     return std::nullopt;
   }
-  const auto rank = [&](const Waiting& waiting) {
-    return std::make_tuple(IsHeavy(waiting.m_caller), waiting.m_deadline,
-                           waiting.m_request);
+  const auto rank = [&](const QueuedRequest& waiting) {
+    return std::make_tuple(IsDominantCaller(waiting.m_caller),
+                           waiting.m_deadline, waiting.m_request);
   };
-  const auto next = std::min_element(
-      m_waiting.begin(), m_waiting.end(),
-      [&](const Waiting& a, const Waiting& b) { return rank(a) < rank(b); });
-  const Waiting chosen = *next;
+  const auto next =
+      std::min_element(m_waiting.begin(), m_waiting.end(),
+                       [&](const QueuedRequest& a, const QueuedRequest& b) {
+                         return rank(a) < rank(b);
+                       });
+  const QueuedRequest chosen = *next;
   m_waiting.erase(next);
   return chosen;
 }
 
 bool WaitQueue::Remove(RequestId request) {
-  return std::erase_if(m_waiting, [&](const Waiting& waiting) {
+  return std::erase_if(m_waiting, [&](const QueuedRequest& waiting) {
            return waiting.m_request == request;
          }) > 0;
 }
 
-std::vector<Waiting> WaitQueue::TakeExpired(TimePoint before) {
-  std::vector<Waiting> expired;
-  std::erase_if(m_waiting, [&](const Waiting& waiting) {
+std::vector<QueuedRequest> WaitQueue::TakeExpired(TimePoint before) {
+  std::vector<QueuedRequest> expired;
+  std::erase_if(m_waiting, [&](const QueuedRequest& waiting) {
     if (waiting.m_deadline >= before) {
       return false;
     }
@@ -68,17 +70,18 @@
   }
 }
 
-bool WaitQueue::IsHeavy(CallerId caller) const {
+bool WaitQueue::IsDominantCaller(CallerId caller) const {
   const auto it = m_running.find(caller);
   const size_t running =
       it == m_running.end() ? 0 : static_cast<size_t>(it->second);
   return 2 * running > m_total_running && running > 1;
 }
 
-size_t WaitQueue::Waits(CallerId caller) const {
-  return static_cast<size_t>(std::count_if(
-      m_waiting.begin(), m_waiting.end(),
-      [&](const Waiting& waiting) { return waiting.m_caller == caller; }));
+size_t WaitQueue::CountWaiting(CallerId caller) const {
+  return static_cast<size_t>(std::count_if(m_waiting.begin(), m_waiting.end(),
+                                           [&](const QueuedRequest& waiting) {
+                                             return waiting.m_caller == caller;
+                                           }));
 }
 
 }  // namespace sorrelplank
--- a/src/core/wait_queue.h
+++ b/src/core/wait_queue.h
@@ -1,4 +1,4 @@
-/// @file wait_queue.h Requests that wait for a slot.
+/// @file wait_queue.h Queue of requests that wait for a slot.
 
 #ifndef SORRELPLANK_CORE_WAIT_QUEUE_H_
 #define SORRELPLANK_CORE_WAIT_QUEUE_H_
@@ -14,44 +14,47 @@
 namespace sorrelplank {
 
 /// A request in the queue.
-struct Waiting {
+struct QueuedRequest {
   RequestId m_request;
   CallerId m_caller;
   TimePoint m_deadline;
 };
 
-/// Small queue of one service, by deadline. A caller that has more than half
-/// of all running requests goes after everybody else, so that its wave does not
-/// starve them.
+/// Queue of one service, ordered by deadline. Callers that have more than half
+/// of all running requests come after all others, so that a burst of one caller
+/// does not starve them.
 class WaitQueue {
  public:
-  /// False where the queue or the caller's part of it is full.
-  bool TryPush(const Waiting& waiting, size_t limit);
+  /// Adds a request. Returns false if the queue or the caller's part of it is
+  /// full.
+  bool TryPush(const QueuedRequest& waiting, size_t limit);
 
-  /// Puts back a request that was popped and found no slot. It was accepted
-  /// before, so no limit applies.
-  void Return(const Waiting& waiting);
+  /// Puts back a request that was popped and found no slot. No limit applies,
+  /// as it was accepted before.
+  void Requeue(const QueuedRequest& waiting);
 
-  /// Takes the next request out.
-  std::optional<Waiting> Pop();
+  /// Removes and returns the next request.
+  std::optional<QueuedRequest> Pop();
 
-  /// Takes a request out wherever it stands.
+  /// Removes a request from any position. Returns whether it was queued.
   bool Remove(RequestId request);
 
-  /// Takes out all whose deadline lies before the given moment.
-  std::vector<Waiting> TakeExpired(TimePoint before);
+  /// Removes and returns all requests with a deadline before the given time.
+  std::vector<QueuedRequest> TakeExpired(TimePoint before);
 
   size_t Size() const { return m_waiting.size(); }
 
-  /// Running requests per caller count towards fairness.
+  /// Changes the number of running requests of a caller, which its priority
+  /// depends on.
   void CountRunning(CallerId caller, int change);
 
  private:
-  size_t Waits(CallerId caller) const;
-  /// True where more than half of all running requests are this caller's.
-  bool IsHeavy(CallerId caller) const;
+  size_t CountWaiting(CallerId caller) const;
+  /// Whether more than half of all running requests, and at least two, are of
+  /// this caller.
+  bool IsDominantCaller(CallerId caller) const;
 
-  std::vector<Waiting> m_waiting;
+  std::vector<QueuedRequest> m_waiting;
   std::map<CallerId, int> m_running;
   size_t m_total_running = 0;
 };
--- a/src/pipeline/choose_backend_filter.cc
+++ b/src/pipeline/choose_backend_filter.cc
@@ -1,4 +1,5 @@
-/// @file choose_backend_filter.cc Slots, caps and preference at the holder.
+/// @file choose_backend_filter.cc Slots, caps and scores of held backend
+/// servers.
 
 #include "pipeline/choose_backend_filter.h"
 
@@ -28,18 +29,18 @@
       found.m_free_slots <= reserve) {
     return std::nullopt;
   }
-  // Servers set aside come last: with every other one full or failing too,
-  // trying them is better than refusing (most looking bad at once is more
-  // often a fault of the path or of the measure than of all servers).
+  // Ejected servers come last: if all others are full or failing too, trying
+  // them is better than refusing. When most servers seem to fail at once, the
+  // cause is more often the network path or the measurement than the servers.
   std::sort(found.m_list.begin(), found.m_list.end(),
             [](const Candidate& a, const Candidate& b) {
-              return a.m_is_aside != b.m_is_aside ? b.m_is_aside
-                                                  : a.m_score < b.m_score;
+              return a.m_is_ejected != b.m_is_ejected ? b.m_is_ejected
+                                                      : a.m_score < b.m_score;
             });
   const bool is_shifted = IsShifted(call);
   for (const Candidate& candidate : found.m_list) {
-    if (is_shifted && !MayTakeShifted(call, *candidate.m_backend,
-                                      *candidate.m_held, links, now)) {
+    if (is_shifted && !TryCountShiftedRequest(call, *candidate.m_backend,
+                                              *candidate.m_held, links, now)) {
       continue;
     }
     candidate.m_held->Take(now);
@@ -74,7 +75,7 @@
                   hash) != call.m_tried_backends.end();
     if (free > 0 && !was_tried) {
       found.m_list.push_back(
-          {&backend, &held, Score(backend, held, now), held.IsSetAside(now)});
+          {&backend, &held, Score(backend, held, now), held.IsEjected(now)});
     }
   }
   return found;
@@ -97,7 +98,7 @@
     }
     HeldBackend& held = *holdings.Dispatchable(hash);
     slots.m_held += held.Slots();
-    slots.m_free += held.IsSetAside(now) ? 0 : held.FreeSlots(now);
+    slots.m_free += held.IsEjected(now) ? 0 : held.FreeSlots(now);
   }
   return slots;
 }
@@ -114,11 +115,11 @@
          m_snapshot.Get(*home).m_region != m_snapshot.Get(m_own_place).m_region;
 }
 
-bool ChooseBackendFilter::MayTakeShifted(const Call& call,
-                                         const BackendServer& backend,
-                                         HeldBackend& held,
-                                         LinkWindows& links,
-                                         TimePoint now) const {
+bool ChooseBackendFilter::TryCountShiftedRequest(const Call& call,
+                                                 const BackendServer& backend,
+                                                 HeldBackend& held,
+                                                 LinkWindows& links,
+                                                 TimePoint now) const {
   if (!m_safeguards.m_shift_cap) {
     return true;
   }
@@ -135,7 +136,7 @@
       return false;
     }
   }
-  if (!held.TryTakeShifted(backend.m_shift_share, now)) {
+  if (!held.TryCountShifted(backend.m_shift_share, now)) {
     return false;
   }
   if (link != nullptr) {
--- a/src/pipeline/choose_backend_filter.h
+++ b/src/pipeline/choose_backend_filter.h
@@ -1,4 +1,4 @@
-/// @file choose_backend_filter.h Picks among the backend servers held here.
+/// @file choose_backend_filter.h Chooses among the backend servers held here.
 
 #ifndef SORRELPLANK_PIPELINE_CHOOSE_BACKEND_FILTER_H_
 #define SORRELPLANK_PIPELINE_CHOOSE_BACKEND_FILTER_H_
@@ -16,11 +16,11 @@
 
 namespace sorrelplank {
 
-/// Windows of requests over a capped link, by backend server and by region of
-/// the caller's home.
+/// Rates of requests over a capped link, by backend server and by region of the
+/// caller's home.
 using LinkWindows = std::map<std::pair<NameHash, NameHash>, RateWindow>;
 
-/// Finds a held backend server with a free slot that the call may take, and
+/// Finds a held backend server with a free slot that the call may use, and
 /// takes the slot.
 class ChooseBackendFilter {
  public:
@@ -28,13 +28,13 @@
                       PlaceId own_place,
                       Safeguards safeguards);
 
-  /// Takes a slot for the call, if there is one for it.
+  /// Takes a slot for the call, if there is one that it may use.
   std::optional<NameHash> Apply(const Call& call,
                                 Holdings& holdings,
                                 LinkWindows& links,
                                 TimePoint now) const;
 
-  /// Slots held and free for a service, as heartbeats state them.
+  /// Held and free slots of a service, as reported in heartbeats.
   ServiceSlots CountSlots(NameHash service,
                           Holdings& holdings,
                           TimePoint now) const;
@@ -45,10 +45,10 @@
     const BackendServer* m_backend = nullptr;
     HeldBackend* m_held = nullptr;
     double m_score = 0;
-    bool m_is_aside = false;
+    bool m_is_ejected = false;
   };
 
-  /// All of them, and the slots of the service held here.
+  /// All candidates, and the slots of the service held here.
   struct Candidates {
     std::vector<Candidate> m_list;
     uint32_t m_held_slots = 0;
@@ -58,11 +58,11 @@
   Candidates Collect(const Call& call, Holdings& holdings, TimePoint now) const;
   bool IsShifted(const Call& call) const;
   bool IsFromOtherRegion(const Call& call) const;
-  bool MayTakeShifted(const Call& call,
-                      const BackendServer& backend,
-                      HeldBackend& held,
-                      LinkWindows& links,
-                      TimePoint now) const;
+  bool TryCountShiftedRequest(const Call& call,
+                              const BackendServer& backend,
+                              HeldBackend& held,
+                              LinkWindows& links,
+                              TimePoint now) const;
   double Score(const BackendServer& backend,
                HeldBackend& held,
                TimePoint now) const;
--- a/src/pipeline/choose_place_filter.cc
+++ b/src/pipeline/choose_place_filter.cc
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Breaks ties between equal routes, so that entry VMs with the same view do
-/// not all choose the same one.
-constexpr double kTieBreak = 0.05;
+/// Upper bound of a random cost that breaks ties between equal routes, so that
+/// entry VMs with the same view do not all choose the same one.
+constexpr double kMaxTieBreak = 0.05;
 
 double InRunTimes(Duration duration, Duration run_time) {
   return ToMilliseconds(duration) / std::max(0.1, ToMilliseconds(run_time));
@@ -25,21 +25,21 @@
                                       std::mt19937_64& random,
                                       TimePoint now) const {
   const Policy& policy = m_snapshot.m_policy;
-  std::uniform_real_distribution<double> tie(0, kTieBreak);
+  std::uniform_real_distribution<double> tie(0, kMaxTieBreak);
   const Route* best = nullptr;
   double best_cost = cost_of_waiting;
   for (const Route& route : routes) {
     const double latency_cost =
         policy.m_latency_weight * InRunTimes(2 * route.m_latency, run_time);
     if (latency_cost >= best_cost) {
-      // Routes are sorted by latency: no later one can be cheaper.
+      // Routes are sorted by latency, so no later one can be cheaper.
       break;
     }
     if (!MayUse(call, route, now)) {
       continue;
     }
-    const double busy = 1.0 - static_cast<double>(route.m_belief->m_free) /
-                                  std::max(1U, route.m_belief->m_held);
+    const double busy = 1.0 - static_cast<double>(route.m_estimate->m_free) /
+                                  std::max(1U, route.m_estimate->m_held);
     const double cost =
         latency_cost + policy.m_headroom_weight * busy + tie(random);
     if (cost < best_cost) {
@@ -60,10 +60,10 @@
 bool ChoosePlaceFilter::MayUse(const Call& call,
                                const Route& route,
                                TimePoint now) const {
-  const SlotBelief& belief = *route.m_belief;
+  const SlotEstimate& estimate = *route.m_estimate;
   const bool is_due =
-      belief.m_retry_at != TimePoint{} && belief.m_retry_at <= now;
-  if (belief.m_held == 0 || (belief.m_free == 0 && !is_due)) {
+      estimate.m_retry_at != TimePoint{} && estimate.m_retry_at <= now;
+  if (estimate.m_held == 0 || (estimate.m_free == 0 && !is_due)) {
     return false;
   }
   if (call.m_deadline - now <= 2 * route.m_latency) {
--- a/src/pipeline/choose_place_filter.h
+++ b/src/pipeline/choose_place_filter.h
@@ -1,4 +1,4 @@
-/// @file choose_place_filter.h Picks where else a request may go.
+/// @file choose_place_filter.h Chooses the entry VM to forward a request to.
 
 #ifndef SORRELPLANK_PIPELINE_CHOOSE_PLACE_FILTER_H_
 #define SORRELPLANK_PIPELINE_CHOOSE_PLACE_FILTER_H_
@@ -11,15 +11,17 @@
 
 namespace sorrelplank {
 
-/// Chooses the entry VM to hand a request on to, where this one has no slot:
-/// a sibling, another place of the region, another region. What it knows of
-/// their slots lags, so it only prefers; the holder alone decides.
+/// Chooses the entry VM to forward a request to when no slot is free here: a
+/// sibling, another place of the region, or another region. The slot estimates
+/// lag, so they only guide the choice; the holder alone decides whether it
+/// accepts.
 class ChoosePlaceFilter {
  public:
   explicit ChoosePlaceFilter(const Snapshot& snapshot) : m_snapshot(snapshot) {}
 
-  /// The best route whose cost is below that of waiting here; nullptr if
-  /// none. Costs are in run times and busy shares, weighed by the policy.
+  /// Returns the cheapest route that costs less than waiting here; nullptr if
+  /// there is none. Costs are run times and busy shares, weighted by the
+  /// policy.
   const Route* Apply(const Call& call,
                      const std::vector<Route>& routes,
                      Duration run_time,
--- a/src/pipeline/classify_filter.cc
+++ b/src/pipeline/classify_filter.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Callers of one /24 network count together for fairness.
-constexpr int kCallerShift = 8;
+/// Callers of one /24 network count as one for fairness.
+constexpr int kCallerIdShiftBits = 8;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
     return RefusalReason::kUnknownService;
   }
   const Service& service = m_snapshot.Get(*id);
-  if (incoming.m_body_size > service.m_body_limit) {
+  if (incoming.m_body_size > service.m_body_limit_bytes) {
     return RefusalReason::kBodyTooLarge;
   }
   const Duration time_left = std::min(
@@ -32,7 +32,7 @@
   Call call;
   call.m_request = incoming.m_request;
   call.m_service = incoming.m_service;
-  call.m_caller = CallerId(incoming.m_caller_ip >> kCallerShift);
+  call.m_caller = CallerId(incoming.m_caller_ip >> kCallerIdShiftBits);
   call.m_home_place = incoming.m_home_place;
   if (!incoming.m_handed_on) {
     const auto home = m_snapshot.m_client_blocks.Find(incoming.m_caller_ip);
--- a/src/pipeline/classify_filter.h
+++ b/src/pipeline/classify_filter.h
@@ -1,4 +1,5 @@
-/// @file classify_filter.h First filter: what is asked, by whom, until when.
+/// @file classify_filter.h First filter: determines service, caller and
+/// deadline.
 
 #ifndef SORRELPLANK_PIPELINE_CLASSIFY_FILTER_H_
 #define SORRELPLANK_PIPELINE_CLASSIFY_FILTER_H_
@@ -11,7 +12,7 @@
 
 namespace sorrelplank {
 
-/// Turns an incoming call into a classified one, or refuses it.
+/// Classifies an incoming call, or refuses it.
 class ClassifyFilter {
  public:
   explicit ClassifyFilter(const Snapshot& snapshot) : m_snapshot(snapshot) {}
--- a/src/pipeline/key_filter.cc
+++ b/src/pipeline/key_filter.cc
@@ -1,4 +1,4 @@
-/// @file key_filter.cc Decisions on repeated keys.
+/// @file key_filter.cc Decisions on repeated idempotency keys.
 
 #include "pipeline/key_filter.h"
 
@@ -30,25 +30,25 @@
     }
   }
   const TriedList* tried = std::get_if<TriedList>(&call.m_tried);
-  const bool forgot_own =
+  const bool has_lost_records =
       tried != nullptr && known.m_state == KeyState::kNeverSeen &&
       std::any_of(tried->begin(), tried->end(), [&](const TriedVm& vm) {
         return vm.m_name == m_self && vm.m_incarnation != m_incarnation;
       });
-  if (forgot_own) {
-    // The caller tried an earlier process of our name. Its memory is gone, so
-    // nobody can say whether it ran the request.
+  if (has_lost_records) {
+    // The caller tried an earlier process of this VM. Its key records are lost,
+    // so it is unknown whether it ran the request.
     return KeyRefuse{RefusalReason::kRepeatUnsure, Verdict::kMayHaveRun};
   }
   memory.Begin(call.m_key, call.m_request, SendNumber(call.m_tried), now);
-  std::vector<TriedVm> vms = VmsToAsk(call, membership);
+  std::vector<TriedVm> vms = VmsToQuery(call, membership);
   if (vms.empty()) {
     return KeyProceed{};
   }
-  return KeyAsk{std::move(vms)};
+  return KeyQueryPeers{std::move(vms)};
 }
 
-KeyDecision KeyFilter::Judge(KeyState state) {
+KeyDecision KeyFilter::DecideByKeyState(KeyState state) {
   switch (state) {
     case KeyState::kNeverSeen:
     case KeyState::kNotRun:
@@ -58,7 +58,7 @@
     case KeyState::kRan:
       return KeyRefuse{RefusalReason::kRepeatAnswerGone, Verdict::kRan};
     case KeyState::kMayHaveRun:
-    case KeyState::kAsked:
+    case KeyState::kClaimedByPeer:
     case KeyState::kUnknown:
       return KeyRefuse{RefusalReason::kRepeatUnsure, Verdict::kMayHaveRun};
   }
@@ -71,23 +71,24 @@
   switch (known.m_state) {
     case KeyState::kRan:
       return KeyReplay{known.m_request};
-    case KeyState::kAsked:
+    case KeyState::kClaimedByPeer:
     case KeyState::kNotRun:
-      // Only a later send than the one that the record is about may go on. An
-      // earlier one was held up on its way; the caller has moved on and may
-      // have had its request run elsewhere. A caller that states nothing is
-      // taken at its word, and everybody is asked again.
+      // Only a later send than the recorded one may proceed. An earlier one was
+      // delayed on its way; the caller has sent the key again since, and its
+      // request may have run elsewhere. If the caller does not state its
+      // earlier sends, the request proceeds and all other VMs are queried
+      // again.
       if (send == 0 || send > known.m_send) {
         return KeyProceed{};
       }
       return KeyRefuse{RefusalReason::kSuperseded, Verdict::kNotRun};
     default:
-      return Judge(known.m_state);
+      return DecideByKeyState(known.m_state);
   }
 }
 
-std::vector<TriedVm> KeyFilter::VmsToAsk(const Call& call,
-                                         const Membership& membership) const {
+std::vector<TriedVm> KeyFilter::VmsToQuery(const Call& call,
+                                           const Membership& membership) const {
   std::vector<TriedVm> vms;
   if (const auto* tried = std::get_if<TriedList>(&call.m_tried)) {
     std::copy_if(tried->begin(), tried->end(), std::back_inserter(vms),
@@ -97,8 +98,9 @@
   if (std::holds_alternative<TriedNone>(call.m_tried)) {
     return vms;
   }
-  // The caller states nothing: every VM it may have been sent to is asked,
-  // the silent ones too, whose missing answer then means "may have run".
+  // The caller does not state its earlier sends: every VM that may have
+  // received one is queried. That includes silent VMs; a missing answer then
+  // counts as "may have run".
   for (const auto& [name, member] : membership.All()) {
     vms.push_back({name, member.m_record.m_incarnation});
   }
--- a/src/pipeline/key_filter.h
+++ b/src/pipeline/key_filter.h
@@ -1,4 +1,4 @@
-/// @file key_filter.h Second filter: has this request been sent before?
+/// @file key_filter.h Second filter: detects repeated requests by their key.
 
 #ifndef SORRELPLANK_PIPELINE_KEY_FILTER_H_
 #define SORRELPLANK_PIPELINE_KEY_FILTER_H_
@@ -14,43 +14,46 @@
 
 namespace sorrelplank {
 
-/// The request may go on.
+/// The request may proceed.
 struct KeyProceed {};
-/// It is answered from an earlier run.
+/// The request is answered from an earlier run.
 struct KeyReplay {
   RequestId m_original;
 };
-/// It is refused.
+/// The request is refused.
 struct KeyRefuse {
   RefusalReason m_reason;
   Verdict m_verdict;
 };
-/// Others have to be asked first.
-struct KeyAsk {
+/// Other entry VMs have to be queried first.
+struct KeyQueryPeers {
   std::vector<TriedVm> m_vms;
 };
-using KeyDecision = std::variant<KeyProceed, KeyReplay, KeyRefuse, KeyAsk>;
+using KeyDecision =
+    std::variant<KeyProceed, KeyReplay, KeyRefuse, KeyQueryPeers>;
 
 /// Decides on requests that carry an idempotency key for a non-idempotent
-/// service. A first request costs nothing here: it is only written down. Only
-/// a repeat asks the entry VMs that the caller tried before.
+/// service. A first send only records the key, without any messages. Only a
+/// repeat queries the entry VMs that the caller tried before.
 class KeyFilter {
  public:
   KeyFilter(VmName self, Incarnation incarnation);
 
-  /// Decides; marks the key as in progress where the call goes on or asks.
+  /// Returns the decision. Marks the key as in progress if the call proceeds or
+  /// queries other VMs.
   KeyDecision Apply(const Call& call,
                     KeyMemory& memory,
                     const Membership& membership,
                     TimePoint now) const;
 
-  /// What another VM's answer means for the call that asked.
-  static KeyDecision Judge(KeyState state);
+  /// Returns the decision that another VM's key state implies for the querying
+  /// call.
+  static KeyDecision DecideByKeyState(KeyState state);
 
  private:
   KeyDecision DecideKnown(const KeyRecord& known, const Call& call) const;
-  std::vector<TriedVm> VmsToAsk(const Call& call,
-                                const Membership& membership) const;
+  std::vector<TriedVm> VmsToQuery(const Call& call,
+                                  const Membership& membership) const;
 
   VmName m_self;
   Incarnation m_incarnation;
--- a/src/serve/call_gateway.cc
+++ b/src/serve/call_gateway.cc
@@ -145,8 +145,8 @@
     reply.set_answer(static_cast<uint32_t>(KeyState::kUnknown));
     return reply;
   }
-  const KeyRecord record = m_driver.Core().AskKey(KeyHash(request.key()),
-                                                  request.send(), SteadyNow());
+  const KeyRecord record = m_driver.Core().AnswerKeyQuery(
+      KeyHash(request.key()), request.send(), SteadyNow());
   reply.set_answer(static_cast<uint32_t>(record.m_state));
   const HttpResponse* kept = m_answers.Find(record.m_request);
   if (record.m_state == KeyState::kRan && kept != nullptr) {
@@ -282,7 +282,7 @@
          action.m_verdict, row.m_name, action.m_retry_after, action.m_slots);
 }
 
-void CallGateway::Run(const AskSeen& action) {
+void CallGateway::Run(const QueryKeyState& action) {
   proto::SeenRequest request;
   request.set_protocol(kPeerProtocol);
   request.set_key(action.m_key.Get());
@@ -291,7 +291,7 @@
   request.set_hlc(m_driver.NextStamp());
   if (action.m_address.m_ip == 0) {
     m_driver.Feed(
-        SeenAnswered{action.m_request, action.m_vm, KeyState::kUnknown});
+        KeyStateReceived{action.m_request, action.m_vm, KeyState::kUnknown});
     return;
   }
   m_peers.Seen(action.m_address, request, kSeenTimeout,
@@ -365,7 +365,7 @@
     answer.m_body = reply.body();
     it->second.m_peer_answer = std::move(answer);
   }
-  m_driver.Feed(SeenAnswered{request, vm, state});
+  m_driver.Feed(KeyStateReceived{request, vm, state});
 }
 
 void CallGateway::AnswerGone(RequestId request) {
--- a/src/serve/call_gateway.h
+++ b/src/serve/call_gateway.h
@@ -59,7 +59,7 @@
   void Run(const ReplayAnswer& action);
   void Run(const ReplayPeerAnswer& action);
   void Run(const RefuseCall& action);
-  void Run(const AskSeen& action);
+  void Run(const QueryKeyState& action);
 
   void BackendEnded(RequestId request, AttemptId attempt, HttpResult result);
   void HandOnEnded(RequestId request,
--- a/src/serve/entry_process.cc
+++ b/src/serve/entry_process.cc
@@ -248,7 +248,7 @@
       notice.set_protocol(kPeerProtocol);
       notice.set_from(m_settings.m_name);
       ToProto(slots->m_slots, *notice.mutable_slots());
-      notice.set_wants(slots->m_wants);
+      notice.set_wants(slots->m_is_slot_request);
       m_peers.Slots(slots->m_address, notice);
     } else if (std::holds_alternative<ExitProcess>(action)) {
       m_io.stop();
--- a/src/table/outcome_table.h
+++ b/src/table/outcome_table.h
@@ -1,4 +1,4 @@
-/// @file outcome_table.h From each end of a try to what it proves.
+/// @file outcome_table.h Verdict implied by each attempt outcome.
 
 #ifndef SORRELPLANK_TABLE_OUTCOME_TABLE_H_
 #define SORRELPLANK_TABLE_OUTCOME_TABLE_H_
@@ -10,9 +10,9 @@
 
 namespace sorrelplank {
 
-// A request counts as not run only where no byte of it left this process or
-// where the other side said so itself. Everything after the first byte may
-// have run: a backend server can act on a request and die before answering.
+// A request counts as not run only if none of its bytes left this process or if
+// the other side reported so itself. After the first byte it may have run: a
+// backend server can act on a request and die before it answers.
 inline constexpr std::array<OutcomeRow,
                             static_cast<std::size_t>(AttemptOutcome::kCount)>
     kOutcomeTable{{
--- a/src/table/refusal_table.h
+++ b/src/table/refusal_table.h
@@ -1,4 +1,4 @@
-/// @file refusal_table.h HTTP status and wording of each refusal.
+/// @file refusal_table.h HTTP status, name and description of each refusal.
 
 #ifndef SORRELPLANK_TABLE_REFUSAL_TABLE_H_
 #define SORRELPLANK_TABLE_REFUSAL_TABLE_H_
--- a/src/table/timeline_table.h
+++ b/src/table/timeline_table.h
@@ -1,4 +1,4 @@
-/// @file timeline_table.h Names of time-line kinds, in order of the enum.
+/// @file timeline_table.h Names of timeline event kinds, in order of the enum.
 
 #ifndef SORRELPLANK_TABLE_TIMELINE_TABLE_H_
 #define SORRELPLANK_TABLE_TIMELINE_TABLE_H_
--- a/tests/client_block_map_test.cc
+++ b/tests/client_block_map_test.cc
@@ -1,4 +1,5 @@
-/// @file client_block_map_test.cc Longest-prefix match against a plain search.
+/// @file client_block_map_test.cc Longest-prefix match compared with a linear
+/// search.
 
 #include "core/client_block_map.h"
 
@@ -31,7 +32,7 @@
   }
 }
 
-/// The longest block that covers an address, by looking at all.
+/// Linear search for the longest block that covers an address.
 std::optional<PlaceId> SearchAll(uint32_t address) {
   std::optional<PlaceId> best;
   int best_prefix = -1;
--- a/tests/incarnation_test.cc
+++ b/tests/incarnation_test.cc
@@ -1,4 +1,4 @@
-/// @file incarnation_test.cc Two processes under one name.
+/// @file incarnation_test.cc Two processes with the same VM name.
 
 #include <criterion/criterion.h>
 
@@ -19,8 +19,8 @@
   g_fixture.reset();
 }
 
-/// A record of another process of our own name, relayed by somebody.
-void HearNamesake(uint64_t incarnation, uint64_t sequence) {
+/// Delivers a relayed record of another process with our name.
+void ReceiveDuplicateRecord(uint64_t incarnation, uint64_t sequence) {
   VmRecord record = g_fixture->MakeRecord("a", "n1", sequence);
   record.m_incarnation = Incarnation(incarnation);
   g_fixture->Feed(GossipArrived{{record}});
@@ -28,14 +28,15 @@
 
 TestSuite(Incarnation, .init = SetUp, .fini = TearDown);
 
-// A VM is replaced under its name, and the clock of the new one is minutes
-// behind. Its incarnation is the lower one: everybody holds its heartbeats for
-// old ones, and the last record of the dead process, still passed around,
-// looks like a successor. The new one must not step down for a dead one.
-Test(Incarnation, PredecessorsClockWasAhead_SilentSince_IsOutbid) {
-  HearNamesake(900, 7);
-  g_fixture->Run(kTakeoverHorizon + milliseconds(100));
-  HearNamesake(900, 7);
+// A VM is replaced under its name, and the clock of the new process is minutes
+// behind, so its incarnation is lower. All others discard its heartbeats as
+// old, and the last record of the dead process, which is still relayed, looks
+// like that of a successor. The new process must not stop dispatching because
+// of a dead one.
+Test(Incarnation, PredecessorClockAhead_SilentSince_IncarnationIsRaised) {
+  ReceiveDuplicateRecord(900, 7);
+  g_fixture->Run(kTakeoverTimeout + milliseconds(100));
+  ReceiveDuplicateRecord(900, 7);
   g_fixture->Call("read", 1);
   cr_assert_not_null(g_fixture->Find<DispatchToBackend>());
   const VmRecord own =
@@ -44,19 +45,19 @@
   cr_assert_eq(own.m_incarnation.Get(), 901);
 }
 
-// We were declared dead and replaced, and find out when we go on: the other's
-// heartbeat advances. Whatever we hold may be its.
-Test(Incarnation, SuccessorIsAlive_ItsHeartbeatAdvances_WeStepDown) {
-  HearNamesake(900, 7);
+// This VM was declared dead and replaced, and learns of it after a pause: the
+// heartbeat of the other process advances. Our servers may be held by it.
+Test(Incarnation, SuccessorIsAlive_ItsHeartbeatAdvances_StopsDispatching) {
+  ReceiveDuplicateRecord(900, 7);
   g_fixture->Run(milliseconds(300));
-  HearNamesake(900, 8);
+  ReceiveDuplicateRecord(900, 8);
   g_fixture->Call("read", 1);
   cr_assert_null(g_fixture->Find<DispatchToBackend>());
 }
 
-// The other side of it: who knows the dead predecessor tells the new process,
-// which has no other way to find out why nobody takes its heartbeats.
-Test(Incarnation, LowerOneThanKnown_Gossips_IsToldOfTheKnown) {
+// A VM that knows the dead predecessor reports it to the new process, which
+// cannot otherwise find out why its heartbeats are discarded.
+Test(Incarnation, LowerIncarnationThanKnown_Gossips_ReplyHasKnownRecord) {
   NodeFixture& a = *g_fixture;
   VmRecord predecessor = a.MakeRecord("b", "n1", 7);
   predecessor.m_incarnation = Incarnation(900);
@@ -67,9 +68,9 @@
   cr_assert_eq(answer.back().m_incarnation.Get(), 900);
 }
 
-Test(Incarnation, PredecessorWithLowerOne_StillPassedAround_IsIgnored) {
-  HearNamesake(2, 7);
-  HearNamesake(2, 8);
+Test(Incarnation, PredecessorWithLowerIncarnation_StillRelayed_IsIgnored) {
+  ReceiveDuplicateRecord(2, 7);
+  ReceiveDuplicateRecord(2, 8);
   g_fixture->Call("read", 1);
   cr_assert_not_null(g_fixture->Find<DispatchToBackend>());
 }
--- a/tests/key_filter_test.cc
+++ b/tests/key_filter_test.cc
@@ -12,7 +12,7 @@
 const KeyHash kKey(42);
 const TimePoint kNow(seconds(50));
 
-/// Two entry VMs' memories and filters.
+/// Key memory, membership and key filter of one entry VM.
 struct Fixture {
   KeyMemory m_memory{seconds(120)};
   Membership m_members{"a", HashName("n1"), Incarnation(7)};
@@ -48,11 +48,11 @@
 
 TestSuite(KeyFilter, .init = SetUp, .fini = TearDown);
 
-Test(KeyFilter, FirstSend_KeyUnknown_GoesOnWithoutAsking) {
+Test(KeyFilter, FirstSend_KeyUnknown_ProceedsWithoutQuery) {
   cr_assert(Is<KeyProceed>(g_fixture->Arrive(1, TriedNone{})));
 }
 
-Test(KeyFilter, Repeat_EarlierRan_GetsThatAnswer) {
+Test(KeyFilter, Repeat_EarlierRan_ReplaysAnswer) {
   g_fixture->Arrive(1, TriedNone{});
   g_fixture->m_memory.End(kKey, KeyState::kRan);
   const KeyDecision decision =
@@ -67,50 +67,51 @@
   cr_assert(ReasonOf(decision) == RefusalReason::kRepeatInProgress);
 }
 
-Test(KeyFilter, Repeat_NamesOtherVm_AsksIt) {
+Test(KeyFilter, Repeat_ListsOtherVm_QueriesIt) {
   const KeyDecision decision =
       g_fixture->Arrive(1, TriedList{{"b", Incarnation(3)}});
-  cr_assert_eq(std::get<KeyAsk>(decision).m_vms.front().m_name, "b");
+  cr_assert_eq(std::get<KeyQueryPeers>(decision).m_vms.front().m_name, "b");
 }
 
-// The caller tried a process of our name that is gone with its memory. It may
-// have run the request; only "may have run" is true.
-Test(KeyFilter, Repeat_NamesOurFormerProcess_MayHaveRun) {
+// The caller tried an earlier process of this VM whose key memory is lost. It
+// may have run the request, so only "may have run" is correct.
+Test(KeyFilter, Repeat_ListsFormerProcessOfThisVm_MayHaveRun) {
   const KeyDecision decision =
       g_fixture->Arrive(1, TriedList{{"a", Incarnation(6)}});
   cr_assert(ReasonOf(decision) == RefusalReason::kRepeatUnsure);
 }
 
-Test(KeyFilter, UnstatedRepeat_OthersKnown_AsksThemAll) {
+Test(KeyFilter, UnstatedRepeat_OthersKnown_QueriesThemAll) {
   VmRecord record;
   record.m_name = "b";
   record.m_incarnation = Incarnation(1);
   g_fixture->m_members.Merge(record, kNow);
   const KeyDecision decision = g_fixture->Arrive(1, TriedUnstated{});
-  cr_assert_eq(std::get<KeyAsk>(decision).m_vms.size(), 1);
+  cr_assert_eq(std::get<KeyQueryPeers>(decision).m_vms.size(), 1);
 }
 
-// The caller's first send is held up in the network. It repeats at another
-// entry VM, which asks us, hears that the key never came, and runs it. Then
-// the first send arrives here.
+// The caller's first send is delayed in the network. It repeats at another
+// entry VM, which queries this one, learns that the key never arrived, and runs
+// the request. Then the first send arrives here.
 Test(KeyFilter, LateFirstSend_RepeatWasTaken_Superseded) {
-  cr_assert(g_fixture->m_memory.Ask(kKey, 2, kNow) == KeyState::kNeverSeen);
+  cr_assert(g_fixture->m_memory.AnswerPeerQuery(kKey, 2, kNow) ==
+            KeyState::kNeverSeen);
   const KeyDecision decision = g_fixture->Arrive(1, TriedNone{});
   cr_assert(ReasonOf(decision) == RefusalReason::kSuperseded);
 }
 
-// The same with a second send that is late: it names the first entry VM, so
-// it looks like a repeat in good order, but the third send has run by now at a
-// VM that it does not name.
+// The same with a delayed second send. It lists the first entry VM, so it looks
+// like a regular repeat, but the third send has already run at a VM that it
+// does not list.
 Test(KeyFilter, LateSecondSend_ThirdWasTaken_Superseded) {
-  g_fixture->m_memory.Ask(kKey, 3, kNow);
+  g_fixture->m_memory.AnswerPeerQuery(kKey, 3, kNow);
   const KeyDecision decision =
       g_fixture->Arrive(1, TriedList{{"b", Incarnation(3)}});
   cr_assert(ReasonOf(decision) == RefusalReason::kSuperseded);
 }
 
-// A first send was refused as not run, its caller was told so and went to
-// another entry VM. A copy that the network held back must not run here.
+// A first send was refused as not run; its caller was told so and went to
+// another entry VM. A copy delayed in the network must not run here.
 Test(KeyFilter, LateCopy_AfterNotRun_Superseded) {
   g_fixture->Arrive(1, TriedNone{});
   g_fixture->m_memory.End(kKey, KeyState::kNotRun);
@@ -118,7 +119,7 @@
   cr_assert(ReasonOf(decision) == RefusalReason::kSuperseded);
 }
 
-Test(KeyFilter, NextSend_AfterNotRunHere_GoesOn) {
+Test(KeyFilter, NextSend_AfterNotRunHere_Proceeds) {
   g_fixture->Arrive(1, TriedNone{});
   g_fixture->m_memory.End(kKey, KeyState::kNotRun);
   cr_assert(
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,4 +1,5 @@
-/// @file node_fixture.h One entry VM's core on a small configuration.
+/// @file node_fixture.h Decision core of one entry VM with a small
+/// configuration.
 
 #ifndef SORRELPLANK_TESTS_NODE_FIXTURE_H_
 #define SORRELPLANK_TESTS_NODE_FIXTURE_H_
@@ -15,8 +16,8 @@
 
 namespace sorrelplank {
 
-/// Two places of one region and one of another. "read" is idempotent,
-/// "write" is not; each has one server of two slots in each place.
+/// Two places of one region and one of another. "read" is idempotent, "write"
+/// is not; each has one server of two slots at each of n1 and n2.
 inline std::string SmallConfig() {
   return R"({
     "policy": {"lookup_ttl_ms": 1000, "home_reserve_percent": 0},
@@ -54,7 +55,7 @@
       std::move(std::get<Snapshot>(parsed)));
 }
 
-/// A core of n1 that already holds both servers of n1.
+/// A decision core at n1 that already holds both servers of n1.
 class NodeFixture {
  public:
   explicit NodeFixture(Safeguards safeguards = {})
@@ -70,24 +71,25 @@
     Run(seconds(5));
   }
 
-  /// Hands an event over and keeps the actions.
+  /// Handles an event and keeps its actions.
   const Actions& Feed(const Event& event) {
     m_actions.clear();
     m_node.Handle(event, m_now, m_actions);
     return m_actions;
   }
 
-  /// Lets time pass, tick by tick.
+  /// Advances the time, with a tick every 10 ms.
   void Run(Duration duration) {
     const TimePoint ends = m_now + duration;
     while (m_now < ends) {
       m_now += milliseconds(10);
       Feed(Tick{});
-      m_all.insert(m_all.end(), m_actions.begin(), m_actions.end());
+      m_tick_actions.insert(m_tick_actions.end(), m_actions.begin(),
+                            m_actions.end());
     }
   }
 
-  /// A pause: time passes and nobody is called.
+  /// Advances the time without any event, as during a pause.
   void Pause(Duration duration) { m_now += duration; }
 
   IncomingCall MakeCall(const std::string& service, uint64_t request) {
@@ -102,7 +104,7 @@
     return Feed(CallArrived{MakeCall(service, request)});
   }
 
-  /// A record of another entry VM.
+  /// Returns a record of another entry VM.
   VmRecord MakeRecord(const VmName& name,
                       const std::string& place,
                       uint64_t sequence) {
@@ -129,11 +131,11 @@
     return nullptr;
   }
 
-  /// The same, of all ticks so far.
+  /// Number of actions of a kind from all ticks so far.
   template <typename Kind>
   size_t CountInTicks() const {
     size_t count = 0;
-    for (const Action& action : m_all) {
+    for (const Action& action : m_tick_actions) {
       count += std::holds_alternative<Kind>(action) ? 1 : 0;
     }
     return count;
@@ -141,7 +143,7 @@
 
   TimePoint m_now{seconds(100)};
   Actions m_actions;
-  Actions m_all;
+  Actions m_tick_actions;
   Node m_node;
 };
 
--- a/tests/slot_notice_test.cc
+++ b/tests/slot_notice_test.cc
@@ -1,4 +1,4 @@
-/// @file slot_notice_test.cc How waiting requests find slots elsewhere.
+/// @file slot_notice_test.cc Slot notices between entry VMs.
 
 #include <criterion/criterion.h>
 
@@ -20,8 +20,8 @@
   g_fixture.reset();
 }
 
-/// The holder at n2 says that it is full.
-void StateFull() {
+/// The holder at n2 reports that no slot is free.
+void ReportNoFreeSlots() {
   g_fixture->Feed(SlotNoticeArrived{"c", {HashName("read"), 2, 0}, false});
 }
 
@@ -36,18 +36,18 @@
   cr_assert_eq(hand_on->m_vm, "c");
 }
 
-Test(SlotNotice, AllFull_RequestQueues_NearestHolderIsTold) {
-  StateFull();
+Test(SlotNotice, AllFull_RequestQueues_NearestHolderIsNotified) {
+  ReportNoFreeSlots();
   g_fixture->Call("read", 1);
   g_fixture->Call("read", 2);
   g_fixture->Call("read", 3);
   const auto* notice = g_fixture->Find<SendSlotNotice>();
   cr_assert_not_null(notice);
-  cr_assert(notice->m_wants);
+  cr_assert(notice->m_is_slot_request);
 }
 
 Test(SlotNotice, OtherFreesASlot_RequestWaits_IsHandedOnAtOnce) {
-  StateFull();
+  ReportNoFreeSlots();
   g_fixture->Call("read", 1);
   g_fixture->Call("read", 2);
   g_fixture->Call("read", 3);
@@ -64,7 +64,7 @@
   g_fixture->Feed(AttemptEnded{first, AttemptOutcome::kAnswered, {}, {}});
   const auto* offer = g_fixture->Find<SendSlotNotice>();
   cr_assert_not_null(offer);
-  cr_assert_not(offer->m_wants);
+  cr_assert_not(offer->m_is_slot_request);
 }
 
 }  // namespace
--- a/tests/stop_test.cc
+++ b/tests/stop_test.cc
@@ -1,4 +1,4 @@
-/// @file stop_test.cc Planned stops.
+/// @file stop_test.cc Planned stop of an entry VM.
 
 #include <criterion/criterion.h>
 
@@ -54,11 +54,11 @@
           .m_leaving);
 }
 
-// The process stands still while it is stopping, and goes on after the time at
-// which it would have exited. Requests that arrived meanwhile wait in its
-// sockets; the first thing it sees is a timer. Exiting on it would cut them
-// off, and their callers could not tell whether they ran.
-Test(Stop, PausedWhileStopping_RequestsWaitInSockets_TakesThemFirst) {
+// The process is paused while it is stopping, until after the time at which it
+// would have exited. Requests that arrived meanwhile wait in its sockets, and
+// its first event is a timer tick. If it exited then, it would cut those
+// requests off, and their callers could not tell whether they ran.
+Test(Stop, PausedWhileStopping_RequestsWaitInSockets_DoesNotExitYet) {
   NodeFixture& a = *g_fixture;
   a.Feed(StopRequested{});
   a.Run(milliseconds(100));
--- a/tests/wait_queue_test.cc
+++ b/tests/wait_queue_test.cc
@@ -1,4 +1,4 @@
-/// @file wait_queue_test.cc Fairness and bounds of the queue.
+/// @file wait_queue_test.cc Fairness and limits of the queue.
 
 #include "core/wait_queue.h"
 
@@ -19,45 +19,47 @@
   g_queue.reset();
 }
 
-Waiting MakeWaiting(uint64_t request, uint32_t caller, int deadline_s) {
+QueuedRequest MakeQueuedRequest(uint64_t request,
+                                uint32_t caller,
+                                int deadline_s) {
   return {RequestId(request), CallerId(caller), TimePoint(seconds(deadline_s))};
 }
 
 TestSuite(WaitQueue, .init = SetUp, .fini = TearDown);
 
-// A caller's wave fills its part of the queue; then a slot is tried and none
-// is free, so the first request goes back. It must not be refused because its
-// caller's part has filled up in the meantime: it was accepted already.
-Test(WaitQueue, PoppedRequest_CallersPartFull_GoesBack) {
+// A burst of one caller fills its part of the queue. The first request is
+// popped, finds no free slot and is requeued. It must not be refused because
+// its caller's part has filled up again meanwhile: it was accepted before.
+Test(WaitQueue, PoppedRequest_CallerLimitReached_IsRequeued) {
   for (uint64_t request = 1; request <= 18; ++request) {
-    g_queue->TryPush(MakeWaiting(request, 1, 10), 24);
+    g_queue->TryPush(MakeQueuedRequest(request, 1, 10), 24);
   }
   const auto first = g_queue->Pop();
   cr_assert(first.has_value());
-  g_queue->TryPush(MakeWaiting(19, 1, 10), 24);
-  g_queue->Return(*first);
+  g_queue->TryPush(MakeQueuedRequest(19, 1, 10), 24);
+  g_queue->Requeue(*first);
   cr_assert_eq(g_queue->Pop()->m_request.Get(), first->m_request.Get());
 }
 
-Test(WaitQueue, WaveOfOneCaller_QueueNotYetFull_LeavesRoomForOthers) {
+Test(WaitQueue, BurstOfOneCaller_QueueNotYetFull_LeavesRoomForOthers) {
   int taken = 0;
   for (uint64_t request = 1; request <= 20; ++request) {
-    taken += g_queue->TryPush(MakeWaiting(request, 1, 10), 8) ? 1 : 0;
+    taken += g_queue->TryPush(MakeQueuedRequest(request, 1, 10), 8) ? 1 : 0;
   }
   cr_assert_eq(taken, 6);
-  cr_assert(g_queue->TryPush(MakeWaiting(100, 2, 10), 8));
+  cr_assert(g_queue->TryPush(MakeQueuedRequest(100, 2, 10), 8));
 }
 
 Test(WaitQueue, CallerWithRunningRequests_OtherCallerWaits_OtherGoesFirst) {
   g_queue->CountRunning(CallerId(1), 3);
-  g_queue->TryPush(MakeWaiting(1, 1, 5), 8);
-  g_queue->TryPush(MakeWaiting(2, 2, 50), 8);
+  g_queue->TryPush(MakeQueuedRequest(1, 1, 5), 8);
+  g_queue->TryPush(MakeQueuedRequest(2, 2, 50), 8);
   cr_assert_eq(g_queue->Pop()->m_request.Get(), 2);
 }
 
 Test(WaitQueue, SameCaller_TwoWait_EarlierDeadlineGoesFirst) {
-  g_queue->TryPush(MakeWaiting(1, 1, 50), 8);
-  g_queue->TryPush(MakeWaiting(2, 1, 5), 8);
+  g_queue->TryPush(MakeQueuedRequest(1, 1, 50), 8);
+  g_queue->TryPush(MakeQueuedRequest(2, 1, 5), 8);
   cr_assert_eq(g_queue->Pop()->m_request.Get(), 2);
 }
 
--- a/trial/product_run.cc
+++ b/trial/product_run.cc
@@ -368,7 +368,7 @@
                        action.m_slots, action.m_retry_after});
 }
 
-void ProductRun::Do(size_t vm, const AskSeen& action) {
+void ProductRun::Do(size_t vm, const QueryKeyState& action) {
   const size_t to = VmAt(action.m_address);
   KeyState state = KeyState::kUnknown;
   Duration delay = milliseconds(300);
@@ -379,7 +379,8 @@
   if (answers) {
     state =
         m_vms[to]
-            .m_node->AskKey(action.m_key, action.m_send, m_world.m_queue.Now())
+            .m_node
+            ->AnswerKeyQuery(action.m_key, action.m_send, m_world.m_queue.Now())
             .m_state;
     delay = 2 * m_world.Latency(m_vms[vm].m_place, m_vms[to].m_place);
   }
@@ -387,7 +388,7 @@
        m_vms[vm].m_name + " asks " + action.m_vm + ": state " +
            std::to_string(static_cast<int>(state)));
   Deliver(vm, m_vms[vm].m_life, delay,
-          SeenAnswered{action.m_request, action.m_vm, state});
+          KeyStateReceived{action.m_request, action.m_vm, state});
 }
 
 void ProductRun::Do(size_t vm, const SendGossip& action) {
@@ -410,10 +411,10 @@
 void ProductRun::Do(size_t vm, const SendSlotNotice& action) {
   const size_t to = VmAt(action.m_address);
   if (m_vms[to].m_up && !IsCut(vm, to)) {
-    Deliver(
-        to, m_vms[to].m_life,
-        m_world.Latency(m_vms[vm].m_place, m_vms[to].m_place),
-        SlotNoticeArrived{m_vms[vm].m_name, action.m_slots, action.m_wants});
+    Deliver(to, m_vms[to].m_life,
+            m_world.Latency(m_vms[vm].m_place, m_vms[to].m_place),
+            SlotNoticeArrived{m_vms[vm].m_name, action.m_slots,
+                              action.m_is_slot_request});
   }
 }
 
--- a/trial/product_run.h
+++ b/trial/product_run.h
@@ -85,7 +85,7 @@
   void Do(size_t vm, const ReplayAnswer& action);
   void Do(size_t vm, const ReplayPeerAnswer& action);
   void Do(size_t vm, const RefuseCall& action);
-  void Do(size_t vm, const AskSeen& action);
+  void Do(size_t vm, const QueryKeyState& action);
   void Do(size_t vm, const SendGossip& action);
   void Do(size_t vm, const SendSlotNotice& action);
   void Do(size_t vm, const FetchConfig& action);
