--- a/src/core/lookup_table.cc
+++ b/src/core/lookup_table.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Entry VMs in one answer.
+/// Maximum number of entry VMs in one answer.
 constexpr size_t kMaxVmsPerAnswer = 4;
 /// A shift reaches its full percentage after this many lookup TTLs.
 constexpr int64_t kShiftRampSteps = 4;
--- a/src/core/node_calls.cc
+++ b/src/core/node_calls.cc
@@ -14,7 +14,7 @@
 
 /// Lower bound of the retry delay stated to refused callers.
 constexpr Duration kMinRetryAfter = milliseconds(50);
-/// Holders that are notified of a waiting request.
+/// Maximum number of holders that are notified of a waiting request.
 constexpr size_t kMaxSlotRequestTargets = 3;
 
 KeyState ToKeyState(Verdict verdict) {
