--- a/src/serve/call_gateway.h
+++ b/src/serve/call_gateway.h
@@ -60,7 +60,7 @@
   void Execute(const ReplayAnswer& action);
   void Execute(const ReplayPeerAnswer& action);
   void Execute(const RefuseCall& action);
-  void Execute(const AskSeen& action);
+  void Execute(const QueryKeyState& action);
 
   void BackendEnded(RequestId request, AttemptId attempt, HttpResult result);
   void HandOnEnded(RequestId request,
