--- a/bench/bench_main.cc
+++ b/bench/bench_main.cc
@@ -1,4 +1,5 @@
-/// @file bench_main.cc All measurements, or one group of them.
+/// @file bench_main.cc Runs all benchmarks, or the group that is named as the
+/// argument.
 
 #include <cstring>
 #include <exception>
--- a/bench/bench_report.h
+++ b/bench/bench_report.h
@@ -1,4 +1,4 @@
-/// @file bench_report.h Lines of measurements.
+/// @file bench_report.h Output of measurements.
 
 #ifndef SORRELPLANK_BENCH_BENCH_REPORT_H_
 #define SORRELPLANK_BENCH_BENCH_REPORT_H_
@@ -8,7 +8,8 @@
 
 namespace sorrelplank {
 
-/// Prints one measurement against a baseline of the same run.
+/// Prints a measured value, its baseline and their ratio (0 if the baseline is
+/// 0).
 inline void ReportBench(const std::string& name,
                         double value,
                         const char* unit,
--- a/bench/client_blocks_bench.cc
+++ b/bench/client_blocks_bench.cc
@@ -1,4 +1,5 @@
-/// @file client_blocks_bench.cc Longest-prefix match at the size planned for.
+/// @file client_blocks_bench.cc Longest-prefix match with as many client blocks
+/// as are planned for.
 
 #include "bench/client_blocks_bench.h"
 
@@ -19,8 +20,8 @@
 constexpr uint16_t kSites = 73;
 constexpr size_t kLookups = 4000000;
 
-/// Blocks as a firm's address plan has them: /16 to /24, some nested, the
-/// places of neighbours often equal.
+/// Client blocks like those of a company's address plan: /16 to /24, some
+/// nested, neighbouring blocks often with the same place.
 std::vector<ClientBlock> MakeBlocks() {
   std::mt19937_64 random(1);
   std::uniform_int_distribution<int> prefix(18, 24);
@@ -40,7 +41,8 @@
   return blocks;
 }
 
-/// Nanoseconds a look-up, and a sum that keeps the work from being left out.
+/// Returns the nanoseconds per lookup. The sum of the results keeps the
+/// compiler from optimizing the lookups away.
 template <typename Find>
 double TimeLookups(const std::vector<uint32_t>& addresses, Find find) {
   uint64_t sum = 0;
@@ -64,7 +66,7 @@
   const std::chrono::duration<double, std::milli> build =
       std::chrono::steady_clock::now() - started;
 
-  // The same disjoint ranges for both baselines: starts of every range.
+  // Both baselines use the same disjoint ranges, given by their first address.
   std::vector<std::pair<uint32_t, uint16_t>> ranges;
   std::map<uint32_t, uint16_t> tree;
   uint16_t last = 0xFFFF;
@@ -91,23 +93,26 @@
   std::vector<uint32_t> addresses(kLookups);
   std::generate(addresses.begin(), addresses.end(),
                 [&] { return any(random); });
-  const double ours = TimeLookups(addresses, [&](uint32_t address) {
-    const auto place = map.Find(address);
-    return place ? place->Get() : 0;
-  });
-  const double binary = TimeLookups(addresses, [&](uint32_t address) {
+  const double client_block_map_ns =
+      TimeLookups(addresses, [&](uint32_t address) {
+        const auto place = map.Find(address);
+        return place ? place->Get() : 0;
+      });
+  const double binary_search_ns = TimeLookups(addresses, [&](uint32_t address) {
     const auto it = std::upper_bound(
         ranges.begin(), ranges.end(), address,
         [](uint32_t a, const auto& range) { return a < range.first; });
     return std::prev(it)->second;
   });
-  const double by_tree = TimeLookups(addresses, [&](uint32_t address) {
+  const double std_map_ns = TimeLookups(addresses, [&](uint32_t address) {
     return std::prev(tree.upper_bound(address))->second;
   });
   const double bytes = static_cast<double>(map.MemoryBytes());
   constexpr double kTreeNodeBytes = 48;
-  ReportBench("client_blocks_lookup_vs_binary_search", ours, "ns", binary);
-  ReportBench("client_blocks_lookup_vs_std_map", ours, "ns", by_tree);
+  ReportBench("client_blocks_lookup_vs_binary_search", client_block_map_ns,
+              "ns", binary_search_ns);
+  ReportBench("client_blocks_lookup_vs_std_map", client_block_map_ns, "ns",
+              std_map_ns);
   ReportBench("client_blocks_memory_vs_std_map", bytes, "bytes",
               kTreeNodeBytes * static_cast<double>(tree.size()));
   ReportBench("client_blocks_build", build.count(), "ms", build.count());
--- a/bench/client_blocks_bench.h
+++ b/bench/client_blocks_bench.h
@@ -1,11 +1,12 @@
-/// @file client_blocks_bench.h Measurement of client block look-ups.
+/// @file client_blocks_bench.h Benchmark of client block lookups.
 
 #ifndef SORRELPLANK_BENCH_CLIENT_BLOCKS_BENCH_H_
 #define SORRELPLANK_BENCH_CLIENT_BLOCKS_BENCH_H_
 
 namespace sorrelplank {
 
-/// 830,000 blocks to 73 sites, against a binary search and std::map.
+/// Measures lookups in 830,000 blocks of 73 sites; the baselines are a binary
+/// search and a std::map.
 void BenchClientBlocks();
 
 }  // namespace sorrelplank
--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -1,4 +1,5 @@
-/// @file decision_bench.cc Cores with in-memory links, 12 to 710 of them.
+/// @file decision_bench.cc One decision core that gets the records of a fleet
+/// of 12 to 710 entry VMs in memory.
 
 #include "bench/decision_bench.h"
 
@@ -22,7 +23,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// A fleet: places, entry VMs over them, three services.
+/// Number of places of a fleet, and of the entry VMs spread over them.
 struct FleetSize {
   int m_places;
   int m_vms;
@@ -88,10 +89,10 @@
   return record;
 }
 
-/// One core of a fleet, fed by records of all the others.
-class OneOfMany {
+/// One node of a fleet, which receives the records of all others.
+class SimulatedNode {
  public:
-  explicit OneOfMany(const FleetSize& size)
+  explicit SimulatedNode(const FleetSize& size)
       : m_size(size),
         m_config(MakeConfig(size.m_places)),
         m_node({.m_name = "vm-0",
@@ -108,7 +109,7 @@
     }
   }
 
-  /// One heartbeat interval: every other VM's record arrives once.
+  /// Simulates one heartbeat interval: each other VM's record arrives once.
   void Round() {
     ++m_sequence;
     m_now += milliseconds(300);
@@ -122,7 +123,7 @@
     m_busy += Clock::now() - started;
   }
 
-  /// Mean of one decision, in microseconds.
+  /// Mean time of one decision, in microseconds.
   double DecisionUs() {
     constexpr uint64_t kCalls = 20000;
     const auto started = Clock::now();
@@ -132,7 +133,7 @@
       incoming.m_service = HashName("s" + std::to_string(call % kServices));
       m_actions.clear();
       m_node.Handle(CallArrived{incoming}, m_now, m_actions);
-      // End it, so that the next one meets the same state.
+      // End the attempt, so that the next decision starts from the same state.
       for (const Action& action : m_actions) {
         const AttemptId* attempt = nullptr;
         if (const auto* here = std::get_if<DispatchToBackend>(&action)) {
@@ -154,7 +155,7 @@
     return took.count() / static_cast<double>(kCalls);
   }
 
-  /// Bytes that one heartbeat interval sends, as encoded.
+  /// Encoded bytes that are sent in one heartbeat interval.
   size_t BytesOfRound() {
     size_t bytes = 0;
     for (const Action& action : m_actions) {
@@ -180,8 +181,9 @@
   }
 
  private:
-  /// What arrives in one interval: from each sibling its own record and those
-  /// of the places that it speaks with, and from our places theirs.
+  /// Messages that arrive in one interval: from each VM of the same place its
+  /// own record and the records of the places that it gossips with, and the
+  /// records of the places that this node gossips with.
   std::vector<GossipArrived> MessagesOfRound() {
     const int siblings = std::max(1, m_size.m_vms / m_size.m_places);
     std::vector<GossipArrived> messages(static_cast<size_t>(siblings));
@@ -225,7 +227,7 @@
 void BenchDecisions() {
   double baseline = 0;
   for (const FleetSize& size : kSizes) {
-    OneOfMany fleet(size);
+    SimulatedNode fleet(size);
     const double us = fleet.DecisionUs();
     baseline = baseline == 0 ? us : baseline;
     ReportBench("decision_at_" + std::to_string(size.m_vms) + "_vms", us, "us",
@@ -238,19 +240,19 @@
   for (const FleetSize& size : kSizes) {
     const std::string at = "_at_" + std::to_string(size.m_vms) + "_vms";
     const size_t before = mallinfo2().uordblks;
-    OneOfMany fleet(size);
+    SimulatedNode fleet(size);
     const size_t after = mallinfo2().uordblks;
     const double us = fleet.BusyUsPerRound(20);
-    constexpr double kCoreBudget = 0.029 * 1e6;
-    constexpr double kByteBudget = 12 * 1024;
-    constexpr double kMemoryBudget = 128.0 * 1024 * 1024;
+    constexpr double kCpuBudgetUsPerSecond = 0.029 * 1e6;
+    constexpr double kBytesPerSecondBudget = 12 * 1024;
+    constexpr double kMemoryBudgetBytes = 128.0 * 1024 * 1024;
     ReportBench("control_core_us_per_s" + at, us * kIntervalsPerSecond, "us/s",
-                kCoreBudget);
+                kCpuBudgetUsPerSecond);
     ReportBench("control_bytes_sent_per_s" + at,
                 static_cast<double>(fleet.BytesOfRound()) * kIntervalsPerSecond,
-                "bytes/s", kByteBudget);
+                "bytes/s", kBytesPerSecondBudget);
     ReportBench("control_state" + at, static_cast<double>(after - before),
-                "bytes", kMemoryBudget);
+                "bytes", kMemoryBudgetBytes);
   }
 }
 
--- a/bench/decision_bench.h
+++ b/bench/decision_bench.h
@@ -1,15 +1,17 @@
-/// @file decision_bench.h Cost of decisions and of heartbeats.
+/// @file decision_bench.h Benchmarks of decisions and of heartbeats.
 
 #ifndef SORRELPLANK_BENCH_DECISION_BENCH_H_
 #define SORRELPLANK_BENCH_DECISION_BENCH_H_
 
 namespace sorrelplank {
 
-/// One decision at fleets of several sizes, up to 73 sites with 710 VMs.
+/// Measures one decision in fleets of several sizes, up to 73 sites with 710
+/// entry VMs.
 void BenchDecisions();
 
-/// Heartbeats of one entry VM at several sizes: processor time, bytes and
-/// memory. The slopes of docs/CAPACITY.md come from here.
+/// Measures the heartbeats of one entry VM in fleets of several sizes: CPU
+/// time, bytes and memory. docs/CAPACITY.md derives its slopes from these
+/// figures.
 void BenchControl();
 
 }  // namespace sorrelplank
--- a/bench/path_bench.cc
+++ b/bench/path_bench.cc
@@ -1,4 +1,4 @@
-/// @file path_bench.cc One connection pool against one process at a time.
+/// @file path_bench.cc Load from one client against one process at a time.
 
 #include "bench/path_bench.h"
 
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "bench/bench_report.h"
-#include "bench/process_use.h"
+#include "bench/process_usage.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "standin/fleet.h"
@@ -25,13 +25,13 @@
 constexpr int kConcurrency = 16;
 constexpr Duration kRunTime = seconds(3);
 
-/// What a pool of callers saw.
+/// Results of a pool of callers.
 struct PoolResult {
   double m_per_second = 0;
   double m_p50_ms = 0;
 };
 
-/// Sends the same request over and over, so many at a time.
+/// Sends the same request repeatedly, with the given number in flight.
 PoolResult RunPool(const HttpFetch& fetch, int concurrency) {
   asio::io_context io{1};
   HttpClient client(io);
@@ -68,7 +68,7 @@
   return result;
 }
 
-/// A handler that answers a constant body, on a thread of its own.
+/// An HTTP server that responds with a constant body, on its own thread.
 class BareServer {
  public:
   BareServer(const std::string& ip, uint16_t port, std::string body)
@@ -100,7 +100,7 @@
 
 void BenchPath(const std::string& binaries, const std::string& examples) {
   Fleet fleet(binaries, examples + "/trasa");
-  // Runs of no length: what is measured is the path, not the wait.
+  // With a run time of 0 only the request path is measured.
   for (const Service& service : fleet.Config().m_services) {
     fleet.SetRunTime(service.m_name, 0.0);
   }
@@ -118,14 +118,14 @@
   fleet.Run({"apply", fleet.Folder(), "--platform", Fleet::PlatformAddress()});
   fleet.WaitReady({vms.front().m_name}, seconds(20));
   const pid_t pid = fleet.PidOf(vms.front().m_name);
-  ReportBench("serve_idle_resident", ReadUse(pid).m_resident_bytes, "bytes",
-              40.0 * 1024 * 1024);
+  ReportBench("serve_idle_resident", ReadProcessUsage(pid).m_resident_bytes,
+              "bytes", 40.0 * 1024 * 1024);
 
   const std::string base = "http://" + vms.front().m_ip + ":8080";
   HttpFetch lookup;
   lookup.m_url = base + "/v1/lookup?client=10.1.0.7";
   const std::string body = fleet.HttpCall("GET", lookup.m_url, "");
-  const PoolResult looked = RunPool(lookup, kConcurrency);
+  const PoolResult lookups = RunPool(lookup, kConcurrency);
   PoolResult bare;
   {
     const BareServer server("127.9.0.9", 9401, body);
@@ -133,7 +133,7 @@
     constant.m_url = "http://127.9.0.9:9401/v1/lookup?client=10.1.0.7";
     bare = RunPool(constant, kConcurrency);
   }
-  ReportBench("lookups_per_s", looked.m_per_second, "1/s", bare.m_per_second);
+  ReportBench("lookups_per_s", lookups.m_per_second, "1/s", bare.m_per_second);
 
   const BackendServer* backend = nullptr;
   for (const BackendServer& candidate : fleet.Config().m_backends) {
@@ -143,23 +143,24 @@
       backend = &candidate;
     }
   }
-  constexpr int kWithinSlots = 4;
+  constexpr int kProxyConcurrency = 4;
   HttpFetch direct;
   direct.m_method = "POST";
   direct.m_body = "hours of driver 4711";
   direct.m_url = "http://" + backend->m_ip + ":9000/records";
-  const PoolResult straight = RunPool(direct, kWithinSlots);
+  const PoolResult direct_result = RunPool(direct, kProxyConcurrency);
   HttpFetch proxied = direct;
   proxied.m_url = base + "/v1/call/hours-lookup/records";
-  const ProcessUse before = ReadUse(pid);
-  const PoolResult through = RunPool(proxied, kWithinSlots);
-  const double cpu = ReadUse(pid).m_cpu_seconds - before.m_cpu_seconds;
-  ReportBench("proxied_added_p50", through.m_p50_ms - straight.m_p50_ms, "ms",
-              straight.m_p50_ms);
-  const double per_core = through.m_per_second *
+  const ProcessUsage before = ReadProcessUsage(pid);
+  const PoolResult proxied_result = RunPool(proxied, kProxyConcurrency);
+  const double cpu = ReadProcessUsage(pid).m_cpu_seconds - before.m_cpu_seconds;
+  ReportBench("proxied_added_p50",
+              proxied_result.m_p50_ms - direct_result.m_p50_ms, "ms",
+              direct_result.m_p50_ms);
+  const double per_core = proxied_result.m_per_second *
                           std::chrono::duration<double>(kRunTime).count() / cpu;
   ReportBench("proxied_per_core_vs_direct_per_s", per_core, "1/core/s",
-              straight.m_per_second);
+              direct_result.m_per_second);
 }
 
 }  // namespace sorrelplank
--- a/bench/path_bench.h
+++ b/bench/path_bench.h
@@ -1,4 +1,4 @@
-/// @file path_bench.h The whole path on loopback.
+/// @file path_bench.h Benchmark of the whole request path on loopback.
 
 #ifndef SORRELPLANK_BENCH_PATH_BENCH_H_
 #define SORRELPLANK_BENCH_PATH_BENCH_H_
@@ -7,8 +7,9 @@
 
 namespace sorrelplank {
 
-/// Lookups against a bare HTTP handler, proxied requests against calling the
-/// backend stand-in directly, and the resident size of an idle process.
+/// Compares lookups with a plain HTTP handler and proxied requests with direct
+/// calls of the backend stand-in, and measures the resident size of an idle
+/// process.
 void BenchPath(const std::string& binaries, const std::string& examples);
 
 }  // namespace sorrelplank
--- a/bench/policy_bench.cc
+++ b/bench/policy_bench.cc
@@ -1,4 +1,4 @@
-/// @file policy_bench.cc A table of randomised runs.
+/// @file policy_bench.cc Randomised simulations of all policies and scenarios.
 
 #include "bench/policy_bench.h"
 
@@ -14,25 +14,25 @@
 
 namespace {
 
-using trial::Chooser;
 using trial::Faults;
 using trial::RunOptions;
 using trial::RunResult;
+using trial::SelectionPolicy;
 
-/// A chooser with its name in the table.
-struct NamedChooser {
+/// A selection policy and its name in the output.
+struct NamedPolicy {
   const char* m_name;
-  Chooser m_chooser;
+  SelectionPolicy m_policy;
 };
 
-constexpr NamedChooser kChoosers[] = {
-    {"random", Chooser::kRandom},
-    {"round_robin", Chooser::kRoundRobin},
-    {"least_reported", Chooser::kLeastReported},
-    {"two_choices", Chooser::kTwoChoices},
-    {"product", Chooser::kProduct}};
+constexpr NamedPolicy kPolicies[] = {
+    {"random", SelectionPolicy::kRandom},
+    {"round_robin", SelectionPolicy::kRoundRobin},
+    {"least_reported", SelectionPolicy::kLeastReported},
+    {"two_choices", SelectionPolicy::kTwoChoices},
+    {"product", SelectionPolicy::kProduct}};
 
-/// One row: a load and what happens.
+/// A load with the faults that are injected.
 struct Scenario {
   const char* m_name;
   double m_load;
@@ -44,25 +44,25 @@
   for (const double load : {0.5, 0.7, 0.85, 0.95, 1.2}) {
     all.push_back({"calm", load, {}});
   }
-  Faults wave;
-  wave.m_wave = true;
-  all.push_back({"wave", 0.6, wave});
+  Faults traffic_burst;
+  traffic_burst.m_traffic_burst = true;
+  all.push_back({"wave", 0.6, traffic_burst});
   Faults place;
   place.m_place = true;
   all.push_back({"place_leaves", 0.6, place});
   Faults region;
   region.m_region = true;
   all.push_back({"region_lost", 0.6, region});
-  Faults freeze;
-  freeze.m_freeze = true;
-  all.push_back({"reports_frozen", 0.7, freeze});
-  Faults lie;
-  lie.m_lie = true;
-  all.push_back({"reports_lie", 0.7, lie});
+  Faults frozen_reports;
+  frozen_reports.m_frozen_reports = true;
+  all.push_back({"reports_frozen", 0.7, frozen_reports});
+  Faults false_reports;
+  false_reports.m_false_reports = true;
+  all.push_back({"reports_lie", 0.7, false_reports});
   return all;
 }
 
-/// Percentile over all services.
+/// Latency percentile over all services.
 double PercentileMs(const RunResult& result, double share) {
   std::vector<Duration> all;
   for (const auto& [service, latencies] : result.m_latencies) {
@@ -97,11 +97,11 @@
   options.m_requests = requests;
   options.m_load = scenario.m_load;
   options.m_faults = scenario.m_faults;
-  options.m_chooser = Chooser::kOracle;
+  options.m_policy = SelectionPolicy::kOracle;
   const RunResult oracle = RunBaseline(options);
-  for (const NamedChooser& named : kChoosers) {
-    options.m_chooser = named.m_chooser;
-    const RunResult result = named.m_chooser == Chooser::kProduct
+  for (const NamedPolicy& named : kPolicies) {
+    options.m_policy = named.m_policy;
+    const RunResult result = named.m_policy == SelectionPolicy::kProduct
                                  ? RunProduct(options)
                                  : RunBaseline(options);
     const std::string name =
@@ -115,8 +115,8 @@
                 PercentileMs(oracle, 0.999));
     ReportBench(name + "_answered", AnsweredShare(result), "share",
                 AnsweredShare(oracle));
-    ReportBench(name + "_headroom", result.m_least_headroom, "share",
-                oracle.m_least_headroom);
+    ReportBench(name + "_headroom", result.m_min_headroom, "share",
+                oracle.m_min_headroom);
     ReportBench(name + "_wasted", WastedShare(result), "share",
                 WastedShare(oracle));
     if (!result.m_violation.empty()) {
--- a/bench/policy_bench.h
+++ b/bench/policy_bench.h
@@ -1,4 +1,4 @@
-/// @file policy_bench.h Decisions under load and faults, side by side.
+/// @file policy_bench.h Comparison of selection policies under load and faults.
 
 #ifndef SORRELPLANK_BENCH_POLICY_BENCH_H_
 #define SORRELPLANK_BENCH_POLICY_BENCH_H_
@@ -8,7 +8,8 @@
 
 namespace sorrelplank {
 
-/// Product, baselines and oracle over loads and faults of both deployments.
+/// Compares the product and the baselines with the oracle, for several loads
+/// and faults in both deployments.
 void BenchPolicy(const std::string& examples, uint64_t requests);
 
 }  // namespace sorrelplank
--- a/bench/process_use.cc
+++ b/bench/process_usage.cc
@@ -1,6 +1,6 @@
-/// @file process_use.cc Reading of /proc.
+/// @file process_usage.cc Reads /proc/PID/stat.
 
-#include "bench/process_use.h"
+#include "bench/process_usage.h"
 
 #include <unistd.h>
 
@@ -12,22 +12,22 @@
 namespace {
 
 // Fields of /proc/PID/stat, counted from 1.
-constexpr int kUserTicks = 14;
-constexpr int kSystemTicks = 15;
-constexpr int kResidentPages = 24;
+constexpr int kUserTicksField = 14;
+constexpr int kSystemTicksField = 15;
+constexpr int kResidentPagesField = 24;
 
 }  // namespace
 
-ProcessUse ReadUse(pid_t pid) {
-  ProcessUse use;
+ProcessUsage ReadProcessUsage(pid_t pid) {
+  ProcessUsage use;
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string field;
-  for (int at = 1; at <= kResidentPages && stat >> field; ++at) {
-    if (at == kUserTicks || at == kSystemTicks) {
+  for (int at = 1; at <= kResidentPagesField && stat >> field; ++at) {
+    if (at == kUserTicksField || at == kSystemTicksField) {
       use.m_cpu_seconds +=
           std::stod(field) / static_cast<double>(sysconf(_SC_CLK_TCK));
     }
-    if (at == kResidentPages) {
+    if (at == kResidentPagesField) {
       use.m_resident_bytes =
           std::stod(field) * static_cast<double>(sysconf(_SC_PAGESIZE));
     }
--- a/bench/quota_bench.cc
+++ b/bench/quota_bench.cc
@@ -1,4 +1,5 @@
-/// @file quota_bench.cc Runs in virtual time, and timings of single decisions.
+/// @file quota_bench.cc Simulations of quota schemes, and timings of single
+/// decisions.
 
 #include "bench/quota_bench.h"
 
@@ -12,37 +13,38 @@
 #include "steer/quota_gate.h"
 #include "steer/quota_keeper.h"
 #include "steer/routing_table_type.h"
-#include "trial/quota_world.h"
+#include "trial/quota_simulation.h"
 
 namespace sorrelplank {
 
 namespace {
 
 using trial::QuotaResult;
-using trial::QuotaWay;
-using trial::QuotaWorld;
+using trial::QuotaScheme;
+using trial::QuotaSimulation;
 
 constexpr size_t kOrganisations = 10000;
 constexpr int kRounds = 1'000'000;
-/// Usual requests as a part of the limit.
-constexpr double kUsual = 0.625;
+/// Typical request rate as a share of the limit.
+constexpr double kTypicalDemand = 0.625;
 
-struct WayRow {
-  QuotaWay m_way;
+struct NamedScheme {
+  QuotaScheme m_scheme;
   const char* m_name;
 };
 
-constexpr WayRow kWays[] = {{QuotaWay::kEqualParts, "equal parts"},
-                            {QuotaWay::kOneKeeper, "one keeper"},
-                            {QuotaWay::kKeeperOfARegion, "keeper a region"}};
+constexpr NamedScheme kSchemes[] = {
+    {QuotaScheme::kEqualShares, "equal parts"},
+    {QuotaScheme::kOneKeeper, "one keeper"},
+    {QuotaScheme::kKeeperPerRegion, "keeper a region"}};
 
-/// Something that happens while requests come.
+/// Demand and faults of one simulation.
 struct Scenario {
   const char* m_name;
-  double m_times_usual;
-  size_t m_vms_of_clients;
-  bool m_kills_some;
-  bool m_cuts_some;
+  double m_demand_factor;
+  size_t m_client_vms;
+  bool m_kills_vms;
+  bool m_partitions_vms;
 };
 
 constexpr Scenario kScenarios[] = {
@@ -62,44 +64,47 @@
           .m_home_regions = {}};
 }
 
-void RunScenario(const WayRow& way, const Scenario& scenario, size_t vms) {
-  QuotaWorld world({.m_way = way.m_way,
-                    .m_vms = vms,
-                    .m_seed = 11,
-                    .m_vms_of_clients = scenario.m_vms_of_clients});
+void RunScenario(const NamedScheme& scheme,
+                 const Scenario& scenario,
+                 size_t vms) {
+  QuotaSimulation simulation({.m_scheme = scheme.m_scheme,
+                              .m_vms = vms,
+                              .m_seed = 11,
+                              .m_client_vms = scenario.m_client_vms});
   const std::vector<double> rates{2, 40, 450};
   for (const double rate : rates) {
     const Organisation organisation = MakeOrganisation(rate);
-    world.AddOrganisation(organisation, rate * kUsual);
-    world.SetDemand(organisation.m_name, seconds(5),
-                    rate * kUsual * scenario.m_times_usual);
+    simulation.AddOrganisation(organisation, rate * kTypicalDemand);
+    simulation.SetDemand(organisation.m_name, seconds(5),
+                         rate * kTypicalDemand * scenario.m_demand_factor);
   }
-  std::vector<size_t> some;
+  std::vector<size_t> faulty_vms;
   for (size_t vm = 0; vm < vms; vm += 3) {
-    // Of every region: VMs of a region are three apart.
-    some.push_back((vm + vm / 3) % vms);
+    // VMs of a region are three apart; the offset takes VMs of every region.
+    faulty_vms.push_back((vm + vm / 3) % vms);
   }
-  if (scenario.m_cuts_some) {
-    world.Cut(some, seconds(8), seconds(16));
+  if (scenario.m_partitions_vms) {
+    simulation.Partition(faulty_vms, seconds(8), seconds(16));
   }
-  for (const size_t vm : some) {
-    if (scenario.m_kills_some) {
-      world.Kill(vm, seconds(8), seconds(2));
+  for (const size_t vm : faulty_vms) {
+    if (scenario.m_kills_vms) {
+      simulation.Kill(vm, seconds(8), seconds(2));
     }
   }
-  world.Run(seconds(20));
-  std::printf("%-16s %4zu  %-32s", way.m_name, vms, scenario.m_name);
+  simulation.Run(seconds(20));
+  std::printf("%-16s %4zu  %-32s", scheme.m_name, vms, scenario.m_name);
   for (const double rate : rates) {
-    const QuotaResult result = world.ResultOf(MakeOrganisation(rate).m_name);
-    std::printf("  %5.2f %5.1f%%", result.m_worst_window,
+    const QuotaResult result =
+        simulation.ResultOf(MakeOrganisation(rate).m_name);
+    std::printf("  %5.2f %5.1f%%", result.m_max_window_ratio,
                 result.Shortfall() * 100);
   }
-  std::printf("  %6.1f %7.0f\n", world.MessagesPerSecond(),
-              world.BytesPerSecond());
+  std::printf("  %6.1f %7.0f\n", simulation.MessagesPerSecond(),
+              simulation.BytesPerSecond());
 }
 
 template <typename Step>
-double NanosecondsEach(const Step& step) {
+double NanosecondsPerStep(const Step& step) {
   const auto began = std::chrono::steady_clock::now();
   for (int round = 0; round < kRounds; ++round) {
     step(round);
@@ -109,7 +114,7 @@
   return took.count() / kRounds;
 }
 
-void BenchDecisionsOnQuotas() {
+void BenchQuotaDecisions() {
   RoutingTable table;
   table.m_organisations.emplace();
   std::vector<std::string> keys;
@@ -122,16 +127,16 @@
   }
   const OrganisationIndex index(table);
   size_t found = 0;
-  const double look_up = NanosecondsEach([&](int round) {
+  const double lookup_ns = NanosecondsPerStep([&](int round) {
     const auto at = static_cast<size_t>(round) * 31 % kOrganisations;
     found += index.Find(keys[at]) != nullptr ? 1 : 0;
   });
-  ReportBench("key_look_up_of_10000_organisations", look_up, "ns", 1000);
+  ReportBench("key_look_up_of_10000_organisations", lookup_ns, "ns", 1000);
   QuotaGate gate({"r0"});
   gate.SetFleet({{"vm-0", "", "d0", "r0"}});
   QuotaKeeper keeper;
   const TimePoint began(seconds(100));
-  const double decision = NanosecondsEach([&](int round) {
+  const double decision_ns = NanosecondsPerStep([&](int round) {
     const auto at = static_cast<size_t>(round) * 31 % kOrganisations;
     const TimePoint now = began + Duration(round * 10);
     const Organisation& organisation = table.m_organisations->at(at);
@@ -143,7 +148,7 @@
           keeper.Grant(question.m_ask, TermsOf(organisation), 1, now), now);
     }
   });
-  ReportBench("quota_decision_of_10000_organisations", decision, "ns", 1000);
+  ReportBench("quota_decision_of_10000_organisations", decision_ns, "ns", 1000);
   if (found != kRounds) {
     std::printf("keys not found: %zu\n", kRounds - found);
   }
@@ -153,17 +158,17 @@
 
 void BenchQuotas() {
   std::printf(
-      "way              VMs   scenario; for limits of 2, 40 and 450 a second "
-      "the fullest window / bound and the part refused of what is owed; then "
-      "datagrams and bytes a second and VM\n");
+      "scheme           VMs   scenario; for limits of 2, 40 and 450 per second "
+      "the fullest window / bound and the refused share of the ideal number; "
+      "then datagrams and bytes per second and VM\n");
   for (const size_t vms : {12, 76, 195, 710}) {
     for (const Scenario& scenario : kScenarios) {
-      for (const WayRow& way : kWays) {
-        RunScenario(way, scenario, vms);
+      for (const NamedScheme& scheme : kSchemes) {
+        RunScenario(scheme, scenario, vms);
       }
     }
   }
-  BenchDecisionsOnQuotas();
+  BenchQuotaDecisions();
 }
 
 }  // namespace sorrelplank
--- a/bench/quota_bench.h
+++ b/bench/quota_bench.h
@@ -1,12 +1,13 @@
-/// @file quota_bench.h Ways to hold a limit over all entry VMs, compared.
+/// @file quota_bench.h Comparison of schemes that enforce a quota over all
+/// entry VMs.
 
 #ifndef SORRELPLANK_BENCH_QUOTA_BENCH_H_
 #define SORRELPLANK_BENCH_QUOTA_BENCH_H_
 
 namespace sorrelplank {
 
-/// What each way lets pass and refuses, by number of VMs, and what it costs;
-/// and the time that a look-up of a key and a decision take.
+/// Measures what each scheme passes and refuses and how many messages it needs,
+/// by number of VMs; and the time of a key lookup and of a quota decision.
 void BenchQuotas();
 
 }  // namespace sorrelplank
--- a/bench/spread_bench.cc
+++ b/bench/spread_bench.cc
@@ -1,4 +1,4 @@
-/// @file spread_bench.cc Fleets on loopback, without load.
+/// @file spread_bench.cc Idle fleets on loopback.
 
 #include "bench/spread_bench.h"
 
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "bench/bench_report.h"
-#include "bench/process_use.h"
+#include "bench/process_usage.h"
 #include "standin/fleet.h"
 
 namespace sorrelplank {
@@ -23,12 +23,12 @@
 constexpr int kFleets[] = {2, 4, 8, 12};
 constexpr Duration kMeasureTime = seconds(6);
 constexpr int kChanges = 7;
-constexpr double kCoreBudget = 0.029;
-constexpr double kByteBudget = 12.0 * 1024;
-constexpr double kMemoryBudget = 128.0 * 1024 * 1024;
+constexpr double kCpuBudgetCores = 0.029;
+constexpr double kBytesPerSecondBudget = 12.0 * 1024;
+constexpr double kMemoryBudgetBytes = 128.0 * 1024 * 1024;
 constexpr double kSpreadBudgetMs = 6000;
 
-/// A metric of one entry VM; 0 where it cannot be read.
+/// Reads a metric of one entry VM; returns 0 if it can't be read.
 double ReadMetric(Fleet& fleet, const std::string& vm, const char* name) {
   std::istringstream text(fleet.HttpCall(
       "GET", "http://" + fleet.OperatorAddress(vm) + "/metrics", ""));
@@ -67,28 +67,30 @@
   double resident = 0;
   const double calls_before = PlatformCalls(fleet);
   for (const std::string& vm : vms) {
-    cpu -= ReadUse(fleet.PidOf(vm)).m_cpu_seconds;
+    cpu -= ReadProcessUsage(fleet.PidOf(vm)).m_cpu_seconds;
     bytes -= ReadMetric(fleet, vm, "sorrelplank_control_bytes_total{");
   }
   std::this_thread::sleep_for(kMeasureTime);
   for (const std::string& vm : vms) {
-    const ProcessUse use = ReadUse(fleet.PidOf(vm));
+    const ProcessUsage use = ReadProcessUsage(fleet.PidOf(vm));
     cpu += use.m_cpu_seconds;
     bytes += ReadMetric(fleet, vm, "sorrelplank_control_bytes_total{");
     resident = std::max(resident, use.m_resident_bytes);
   }
   const double count = static_cast<double>(vms.size()) * seconds_measured;
   const std::string at = "_of_" + std::to_string(vms.size()) + "_processes";
-  ReportBench("idle_cores_per_process" + at, cpu / count, "cores", kCoreBudget);
+  ReportBench("idle_cores_per_process" + at, cpu / count, "cores",
+              kCpuBudgetCores);
   ReportBench("idle_control_bytes_per_process" + at, bytes / count, "bytes/s",
-              kByteBudget);
-  ReportBench("idle_most_resident" + at, resident, "bytes", kMemoryBudget);
+              kBytesPerSecondBudget);
+  ReportBench("idle_most_resident" + at, resident, "bytes", kMemoryBudgetBytes);
   ReportBench("platform_calls" + at,
               (PlatformCalls(fleet) - calls_before) / seconds_measured, "1/s",
               2000);
 }
 
-/// Milliseconds from the start of an apply until every entry VM runs it.
+/// Milliseconds from the start of `apply` until all entry VMs use the new
+/// version; stops waiting after 10 s.
 double MeasureChange(Fleet& fleet,
                      const std::vector<std::string>& vms,
                      int number) {
--- a/bench/spread_bench.h
+++ b/bench/spread_bench.h
@@ -1,5 +1,5 @@
-/// @file spread_bench.h Control traffic and spread of changes, measured on
-/// real processes.
+/// @file spread_bench.h Benchmark of the control traffic and of the propagation
+/// of configuration changes, with real processes.
 
 #ifndef SORRELPLANK_BENCH_SPREAD_BENCH_H_
 #define SORRELPLANK_BENCH_SPREAD_BENCH_H_
@@ -8,8 +8,8 @@
 
 namespace sorrelplank {
 
-/// Idle fleets of 2 to 12 entry VMs: processor, memory, bytes and platform
-/// calls; and the time until a change is in force in all of 12.
+/// Measures idle fleets of 2 to 12 entry VMs: CPU time, memory, bytes and
+/// platform calls; and the time until a change is in force in all of 12 VMs.
 void BenchSpread(const std::string& binaries, const std::string& examples);
 
 }  // namespace sorrelplank
--- a/bench/steering_bench.cc
+++ b/bench/steering_bench.cc
@@ -1,4 +1,5 @@
-/// @file steering_bench.cc 300 entry VMs and 3,000 backend servers.
+/// @file steering_bench.cc Ticks of one entry VM in a fleet of 300 entry VMs
+/// and 3,000 backend servers.
 
 #include "bench/steering_bench.h"
 
@@ -28,7 +29,7 @@
   return "r" + std::to_string(number % 3);
 }
 
-/// One entry VM's decisions in a large fleet.
+/// Returns the steering of one entry VM in a large fleet.
 std::unique_ptr<Steering> MakeSteering(Duration cold_left, TimePoint now) {
   SteeringSettings settings{.m_vm = "vm-0",
                             .m_failure_domain = "d0",
@@ -72,7 +73,7 @@
   return steering;
 }
 
-double MicrosecondsATick(Steering& steering, TimePoint now) {
+double MicrosecondsPerTick(Steering& steering, TimePoint now) {
   const auto began = std::chrono::steady_clock::now();
   for (int tick = 0; tick < kTicks; ++tick) {
     now += kInterval;
@@ -86,16 +87,16 @@
 
 void BenchSteering() {
   const TimePoint now{seconds(100)};
-  const double calm =
-      MicrosecondsATick(*MakeSteering({}, now), now + seconds(3));
-  ReportBench("regions_measured_calm", calm, "us", calm);
-  const auto cut_off = MakeSteering({}, now);
-  cut_off->SetCutOff(true);
+  const double calm_us =
+      MicrosecondsPerTick(*MakeSteering({}, now), now + seconds(3));
+  ReportBench("regions_measured_calm", calm_us, "us", calm_us);
+  const auto stale = MakeSteering({}, now);
+  stale->SetCutOff(true);
   ReportBench("regions_measured_cut_off",
-              MicrosecondsATick(*cut_off, now + seconds(3)), "us", calm);
+              MicrosecondsPerTick(*stale, now + seconds(3)), "us", calm_us);
   const auto cold = MakeSteering(seconds(60), now);
   ReportBench("regions_measured_cold",
-              MicrosecondsATick(*cold, now + seconds(3)), "us", calm);
+              MicrosecondsPerTick(*cold, now + seconds(3)), "us", calm_us);
 }
 
 }  // namespace sorrelplank
--- a/bench/steering_bench.h
+++ b/bench/steering_bench.h
@@ -1,12 +1,13 @@
-/// @file steering_bench.h Cost of the routed decisions between requests.
+/// @file steering_bench.h Benchmark of the periodic work of the steering code.
 
 #ifndef SORRELPLANK_BENCH_STEERING_BENCH_H_
 #define SORRELPLANK_BENCH_STEERING_BENCH_H_
 
 namespace sorrelplank {
 
-/// Measuring the regions, ten times a second, in a large fleet: while all is
-/// well, while the store is out of reach, and while servers are cold.
+/// Measures the update of the region measurements, which runs ten times per
+/// second, in a large fleet: in normal operation, while the store is
+/// unreachable, and while servers are cold.
 void BenchSteering();
 
 }  // namespace sorrelplank
--- a/tests/quota_world_test.cc
+++ b/tests/quota_world_test.cc
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "trial/quota_world.h"
+#include "trial/quota_simulation.h"
 
 namespace sorrelplank::trial {
 namespace {
@@ -30,16 +30,16 @@
           .m_home_regions = {}};
 }
 
-QuotaWorldOptions Options(uint64_t seed, size_t vms = 12) {
+QuotaSimulationOptions Options(uint64_t seed, size_t vms = 12) {
   return {.m_vms = vms, .m_seed = seed};
 }
 
-TestSuite(QuotaWorld, .timeout = 240);
+TestSuite(QuotaSimulation, .timeout = 240);
 
 // A calm day: nobody presses, and every request must pass.
-Test(QuotaWorld, UsualRequests_SmallAndLarge_ArePassed) {
+Test(QuotaSimulation, UsualRequests_SmallAndLarge_ArePassed) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    QuotaWorld world(Options(seed, 76));
+    QuotaSimulation world(Options(seed, 76));
     for (const double rate : {2.0, 20.0, 450.0}) {
       world.AddOrganisation(MakeOrganisation(std::to_string(rate), rate),
                             rate * kUsual / kRate);
@@ -50,22 +50,24 @@
       cr_assert_leq(result.Shortfall(), kMostRefusedWhenCalm,
                     "seed %lu rate %g: %g refused", seed, rate,
                     result.Shortfall());
-      cr_assert_leq(result.m_worst_window, 1, "seed %lu rate %g", seed, rate);
+      cr_assert_leq(result.m_max_window_ratio, 1, "seed %lu rate %g", seed,
+                    rate);
     }
   }
 }
 
 // One organisation sends 7.5 times its usual. It gets what it is owed and no
 // more, and its neighbour all of its own.
-Test(QuotaWorld, OnePresses_AllVms_LimitHolds) {
+Test(QuotaSimulation, OnePresses_AllVms_LimitHolds) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    QuotaWorld world(Options(seed, 76));
+    QuotaSimulation world(Options(seed, 76));
     world.AddOrganisation(MakeOrganisation("hot", kRate), kUsual);
     world.AddOrganisation(MakeOrganisation("calm", kRate), kUsual);
     world.SetDemand("hot", seconds(5), kUsual * kPressing);
     world.SetDemand("hot", seconds(15), kUsual);
     world.Run(seconds(25));
-    cr_assert_leq(world.ResultOf("hot").m_worst_window, 1, "seed %lu", seed);
+    cr_assert_leq(world.ResultOf("hot").m_max_window_ratio, 1, "seed %lu",
+                  seed);
     cr_assert_leq(world.ResultOf("hot").Shortfall(), kMostRefusedWhenPressed,
                   "seed %lu: %g refused", seed,
                   world.ResultOf("hot").Shortfall());
@@ -76,22 +78,22 @@
 
 // The clients of an organisation stay at two of 76 VMs. With equal parts these
 // would have two parts of 76 of the limit.
-Test(QuotaWorld, ClientsAtFewVms_UsualRequests_ArePassed) {
-  QuotaWorldOptions options = Options(3, 76);
-  options.m_vms_of_clients = 2;
-  QuotaWorld world(options);
+Test(QuotaSimulation, ClientsAtFewVms_UsualRequests_ArePassed) {
+  QuotaSimulationOptions options = Options(3, 76);
+  options.m_client_vms = 2;
+  QuotaSimulation world(options);
   world.AddOrganisation(MakeOrganisation("few", kRate), kUsual);
   world.Run(seconds(30));
   cr_assert_leq(world.ResultOf("few").Shortfall(), kMostRefusedWhenCalm);
-  cr_assert_leq(world.ResultOf("few").m_worst_window, 1);
+  cr_assert_leq(world.ResultOf("few").m_max_window_ratio, 1);
 }
 
 /// Four faults drawn from a seed, while one organisation presses.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
-  QuotaWorldOptions options = Options(seed, 12);
+  QuotaSimulationOptions options = Options(seed, 12);
   options.m_loss = 0.02;
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   const double rate = seed % 2 == 0 ? 4 : 200;
   world.AddOrganisation(MakeOrganisation("hot", rate),
                         rate * kPressing * kUsual / kRate);
@@ -104,7 +106,7 @@
         world.Kill(vm, at, lasts);
         break;
       case 1:
-        world.Cut({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
+        world.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
         break;
       case 2:
         world.KillAll(at, lasts);
@@ -115,13 +117,13 @@
     }
   }
   world.Run(seconds(20));
-  return world.ResultOf("hot").m_worst_window;
+  return world.ResultOf("hot").m_max_window_ratio;
 }
 
 // Keepers are killed under an organisation that presses, and forget what they
 // granted; all are killed at once; VMs are cut off with tokens in hand; the
 // limit is lowered. Whatever is drawn, no window holds more than the bound.
-Test(QuotaWorld, DrawnFaults_OnePresses_LimitHolds) {
+Test(QuotaSimulation, DrawnFaults_OnePresses_LimitHolds) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     const double worst = WorstWindowUnderFaults(seed);
@@ -134,8 +136,8 @@
 
 // All VMs restart while usual requests come. Their buckets begin with little;
 // soon after it all must pass again.
-Test(QuotaWorld, AllRestart_UsualRequests_ArePassedSoon) {
-  QuotaWorld world(Options(7, 76));
+Test(QuotaSimulation, AllRestart_UsualRequests_ArePassedSoon) {
+  QuotaSimulation world(Options(7, 76));
   world.AddOrganisation(MakeOrganisation("usual", kRate), kUsual);
   world.KillAll(seconds(10), milliseconds(1400));
   world.Run(seconds(30));
--- a/tests/server_limit_test.cc
+++ b/tests/server_limit_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "tests/steering_fixture.h"
-#include "trial/limit_world.h"
+#include "trial/limit_simulation.h"
 
 namespace sorrelplank::trial {
 namespace {
@@ -21,12 +21,12 @@
 Test(ServerLimit, NamedInAnswers_AllVmsAsk_SumKeepsTheBound) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    LimitWorld world({.m_seed = seed});
+    LimitSimulation world({.m_seed = seed});
     world.SetLimit(0, seconds(8), 3.3);
     world.SetLimit(4, seconds(8), 1.7);
     world.Run(seconds(40));
     for (const size_t server : {0, 4}) {
-      const double worst = world.ResultOf(server).m_worst_window;
+      const double worst = world.ResultOf(server).m_max_window_ratio;
       if (worst > 1) {
         broken += std::to_string(seed) + ": " + std::to_string(worst) + "  ";
       }
@@ -38,18 +38,18 @@
 // Guards against a limit that leaves most of what the server takes unused.
 Test(ServerLimit, NamedInAnswers_MoreIsAsked_MostOfItIsUsed) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    LimitWorld world({.m_seed = seed});
+    LimitSimulation world({.m_seed = seed});
     world.SetLimit(0, seconds(8), 3.3);
     world.SetLimit(4, seconds(8), 1.7);
     world.Run(seconds(40));
-    cr_assert_geq(world.ResultOf(0).m_used, 0.8, "seed %lu", seed);
-    cr_assert_geq(world.ResultOf(4).m_used, 0.8, "seed %lu", seed);
+    cr_assert_geq(world.ResultOf(0).m_used_share, 0.8, "seed %lu", seed);
+    cr_assert_geq(world.ResultOf(4).m_used_share, 0.8, "seed %lu", seed);
   }
 }
 
 // Guards against requests that wait or fail where other servers have room.
 Test(ServerLimit, NamedInAnswers_OthersHaveRoom_AllAreAnswered) {
-  LimitWorld world({.m_seed = 1});
+  LimitSimulation world({.m_seed = 1});
   world.SetLimit(0, seconds(8), 3.3);
   world.SetLimit(4, seconds(8), 0);
   world.Run(seconds(40));
@@ -60,13 +60,13 @@
 // Guards against a server that is left alone for good: only its answers tell
 // that a limit has ended.
 Test(ServerLimit, LimitOfZeroEnds_ServerIsFound_GetsItsShareAgain) {
-  LimitWorld world({.m_seed = 1});
+  LimitSimulation world({.m_seed = 1});
   world.SetLimit(0, seconds(8), 0);
   world.SetLimit(0, seconds(20), -1);
   world.SetLimit(0, seconds(40), 100);
   world.Run(seconds(60));
-  cr_assert_leq(world.ResultOf(0).m_worst_window, 1);
-  cr_assert_geq(world.ResultOf(0).m_used, 0.05);
+  cr_assert_leq(world.ResultOf(0).m_max_window_ratio, 1);
+  cr_assert_geq(world.ResultOf(0).m_used_share, 0.05);
 }
 
 // Guards against callers who are told to come back before a server that is at
@@ -151,7 +151,7 @@
 /// Five faults drawn from a seed, while two servers name limits.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
-  LimitWorld world({.m_seed = seed, .m_loss = 0.02});
+  LimitSimulation world({.m_seed = seed, .m_loss = 0.02});
   world.SetLimit(0, seconds(3), 3.3);
   world.SetLimit(4, seconds(3), 1.7);
   for (int fault = 0; fault < 5; ++fault) {
@@ -164,7 +164,7 @@
         world.Kill(vm, at, lasts);
         break;
       case 1:
-        world.Cut({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
+        world.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
         break;
       case 2:
         world.RestartServer(server, at);
@@ -183,8 +183,8 @@
     }
   }
   world.Run(seconds(30));
-  return std::max(world.ResultOf(0).m_worst_window,
-                  world.ResultOf(4).m_worst_window);
+  return std::max(world.ResultOf(0).m_max_window_ratio,
+                  world.ResultOf(4).m_max_window_ratio);
 }
 
 // Guards against a sum over the bound while keepers are killed, VMs are cut
--- a/tests/trial_test.cc
+++ b/tests/trial_test.cc
@@ -1,5 +1,6 @@
-/// @file trial_test.cc Randomised runs with fixed seeds: the promises hold with
-/// every safeguard, and each safeguard that is taken out is missed.
+/// @file trial_test.cc Randomised simulations with fixed seeds: no guarantee is
+/// violated while all safeguards are on, and disabling a safeguard causes the
+/// violation that it prevents.
 
 #include <criterion/criterion.h>
 
@@ -17,7 +18,8 @@
   g_options.m_examples = std::string(SOURCE_DIR) + "/examples";
   g_options.m_load = 0.75;
   Faults& faults = g_options.m_faults;
-  faults.m_kill = faults.m_pause = faults.m_cut = faults.m_late = true;
+  faults.m_kill = faults.m_pause = faults.m_partition = faults.m_late_requests =
+      true;
   faults.m_stop = faults.m_drain = true;
 }
 
@@ -34,68 +36,71 @@
 
 TestSuite(Trial, .init = SetUp);
 
-// Every fault at once: entry VMs die, stand still, stop, are cut off, servers
-// drain, requests are late. Callers get one final answer each, their own;
-// nothing non-idempotent runs twice; no limit is passed.
-Test(Trial, TrasaAllFaults_EverySafeguardOn_PromisesHold) {
+// All faults at once: entry VMs crash, freeze, stop or are partitioned, backend
+// servers drain, requests are delayed. Each caller must get exactly one final
+// response, to its own request; no non-idempotent request may run twice; no
+// limit may be exceeded.
+Test(Trial, TrasaAllFaults_EverySafeguardOn_GuaranteesHold) {
   g_options.m_requests = 150000;
   ExpectNoViolation();
 }
 
-Test(Trial, PorttivuoroAllFaults_EverySafeguardOn_PromisesHold) {
+Test(Trial, PorttivuoroAllFaults_EverySafeguardOn_GuaranteesHold) {
   g_options.m_deployment = "porttivuoro";
   g_options.m_requests = 150000;
   ExpectNoViolation();
 }
 
-Test(Trial, RegionLost_EverySafeguardOn_PromisesHold) {
+Test(Trial, RegionLost_EverySafeguardOn_GuaranteesHold) {
   g_options.m_faults = Faults();
   g_options.m_faults.m_region = true;
   g_options.m_requests = 100000;
   ExpectNoViolation();
 }
 
-// Without the wait, a successor dispatches while its predecessor's requests
-// still run.
+// Without the takeover wait, the successor of an entry VM dispatches while the
+// predecessor's requests still run, which exceeds the server's slots.
 Test(Trial, AllFaults_NoTakeoverWait_SlotsExceeded) {
   g_options.m_safeguards.m_takeover_wait = false;
   ExpectViolation("a backend server was pushed past its slots");
 }
 
-// Without it, a request whose connection broke is sent again.
+// Without this safeguard, a non-idempotent request whose connection broke is
+// retried although it may have run.
 Test(Trial, AllFaults_RetriesAfterMayHaveRun_RunsTwice) {
   g_options.m_safeguards.m_retry_only_not_run = false;
   g_options.m_requests = 500000;
   ExpectViolation("a non-idempotent request ran twice");
 }
 
-// Without it, a caller's repeat is a new request to the next entry VM.
+// Without the memory of keys, the next entry VM takes a caller's retry for a
+// new request.
 Test(Trial, AllFaults_NoKeyMemory_RunsTwice) {
   g_options.m_safeguards.m_key_memory = false;
   ExpectViolation("a non-idempotent request ran twice");
 }
 
-// Without it, a leaving server is taken for any other.
+// Without this safeguard, a leaving backend server is selected like any other.
 Test(Trial, AllFaults_LeavingIsIgnored_NewWorkAfterThreeSeconds) {
   g_options.m_safeguards.m_leaving_stops = false;
   ExpectViolation("a leaving backend server got new work after 3 s");
 }
 
-// One place's callers send three times as much. Without the cap its neighbours
-// take it all.
-Test(Trial, Wave_NoShiftCap_CapExceeded) {
+// The callers of one place send three times as many requests. Without the cap,
+// the other places take all of the excess.
+Test(Trial, TrafficBurst_NoShiftCap_CapExceeded) {
   g_options.m_deployment = "porttivuoro";
   g_options.m_faults = Faults();
-  g_options.m_faults.m_wave = true;
+  g_options.m_faults.m_traffic_burst = true;
   g_options.m_safeguards.m_shift_cap = false;
   g_options.m_load = 0.9;
   ExpectViolation("a place took more shifted requests than its cap");
 }
 
-Test(Trial, Wave_ShiftCapOn_PromisesHold) {
+Test(Trial, TrafficBurst_ShiftCapOn_GuaranteesHold) {
   g_options.m_deployment = "porttivuoro";
   g_options.m_faults = Faults();
-  g_options.m_faults.m_wave = true;
+  g_options.m_faults.m_traffic_burst = true;
   g_options.m_load = 0.9;
   ExpectNoViolation();
 }
--- a/trial/baseline_run.cc
+++ b/trial/baseline_run.cc
@@ -1,86 +1,87 @@
-/// @file baseline_run.cc What the product is measured against: entry VMs that
-/// dial every backend server of their region, and an oracle.
+/// @file baseline_run.cc Baselines that the product is compared with: entry VMs
+/// that connect to every backend server of their region, and an oracle.
 
 #include <algorithm>
 #include <deque>
 #include <map>
 
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 namespace sorrelplank::trial {
 
 namespace {
 
-constexpr int kMostTries = 3;
+constexpr int kMaxAttempts = 3;
 
-/// A request in the hands of a baseline.
+/// A request that a baseline handles.
 struct Job {
   Arrival m_arrival;
   TimePoint m_sent;
-  int m_tries = 0;
+  int m_attempts = 0;
 };
 
 /// One run of a baseline.
 class BaselineRun {
  public:
-  explicit BaselineRun(const RunOptions& options) : m_world(options) {}
+  explicit BaselineRun(const RunOptions& options) : m_simulation(options) {}
 
   RunResult Run() {
-    m_world.StartSampling();
+    m_simulation.StartSampling();
     ScheduleFaults();
-    m_world.StartArrivals([this](const Arrival& arrival) {
-      const Job job{arrival, m_world.m_queue.Now(), 0};
-      m_world.m_queue.After(m_world.ClientLatency(),
-                            [this, job] { Choose(job); });
+    m_simulation.StartArrivals([this](const Arrival& arrival) {
+      const Job job{arrival, m_simulation.m_queue.Now(), 0};
+      m_simulation.m_queue.After(m_simulation.ClientLatency(),
+                                 [this, job] { Choose(job); });
     });
-    while (m_world.m_queue.RunOne()) {
+    while (m_simulation.m_queue.RunOne()) {
     }
-    return std::move(m_world.m_result);
+    return std::move(m_simulation.m_result);
   }
 
  private:
   void ScheduleFaults() {
-    const Faults& faults = m_world.m_options.m_faults;
-    for (FakeBackend& backend : m_world.m_backends) {
-      const Place& place = m_world.m_config->Get(backend.m_place);
+    const Faults& faults = m_simulation.m_options.m_faults;
+    for (FakeBackend& backend : m_simulation.m_backends) {
+      const Place& place = m_simulation.m_config->Get(backend.m_place);
       const bool fails = (faults.m_region && place.m_region.Get() == 0) ||
                          (faults.m_place && backend.m_place.Get() == 1);
       if (fails) {
-        m_world.m_queue.After(seconds(10),
-                              [&backend] { backend.m_down = true; });
+        m_simulation.m_queue.After(seconds(10),
+                                   [&backend] { backend.m_down = true; });
       }
     }
   }
 
   void Choose(Job job) {
-    if (m_world.m_options.m_chooser == Chooser::kOracle) {
+    if (m_simulation.m_options.m_policy == SelectionPolicy::kOracle) {
       ChooseAsOracle(job);
       return;
     }
     FakeBackend* backend = Pick(job);
-    if (backend == nullptr || ++job.m_tries > kMostTries) {
-      ++m_world.m_result.m_not_run;
+    if (backend == nullptr || ++job.m_attempts > kMaxAttempts) {
+      ++m_simulation.m_result.m_not_run;
       return;
     }
-    const Duration there =
-        m_world.Latency(job.m_arrival.m_home, backend->m_place);
-    m_world.m_queue.After(there, [this, job, backend, there] {
+    const Duration latency =
+        m_simulation.Latency(job.m_arrival.m_home, backend->m_place);
+    m_simulation.m_queue.After(latency, [this, job, backend, latency] {
       if (backend->m_in_flight >= backend->m_slots || backend->m_down) {
-        ++m_world.m_result.m_sheds;
-        m_world.m_queue.After(there, [this, job] { Choose(job); });
+        ++m_simulation.m_result.m_sheds;
+        m_simulation.m_queue.After(latency, [this, job] { Choose(job); });
         return;
       }
       Start(job, *backend);
     });
   }
 
-  /// Candidates of the home's region; all others where it has none.
+  /// The service's backend servers in the home place's region; those of all
+  /// regions if it has none.
   std::vector<FakeBackend*> Candidates(const Job& job) {
-    const Snapshot& config = *m_world.m_config;
+    const Snapshot& config = *m_simulation.m_config;
     const RegionId home = config.Get(job.m_arrival.m_home).m_region;
     std::vector<FakeBackend*> near;
     std::vector<FakeBackend*> all;
-    for (FakeBackend& backend : m_world.m_backends) {
+    for (FakeBackend& backend : m_simulation.m_backends) {
       if (backend.m_service != job.m_arrival.m_service || backend.m_down) {
         continue;
       }
@@ -98,56 +99,63 @@
       return nullptr;
     }
     std::uniform_int_distribution<size_t> any(0, candidates.size() - 1);
-    const auto less_reported = [](const FakeBackend* a, const FakeBackend* b) {
-      return a->m_reported < b->m_reported;
+    const auto has_lower_reported_load = [](const FakeBackend* a,
+                                            const FakeBackend* b) {
+      return a->m_reported_in_flight < b->m_reported_in_flight;
     };
-    switch (m_world.m_options.m_chooser) {
-      case Chooser::kRoundRobin:
-        return candidates[m_next[job.m_arrival.m_home]++ % candidates.size()];
-      case Chooser::kLeastReported:
+    switch (m_simulation.m_options.m_policy) {
+      case SelectionPolicy::kRoundRobin:
+        return candidates[m_round_robin_next[job.m_arrival.m_home]++ %
+                          candidates.size()];
+      case SelectionPolicy::kLeastReported:
         return *std::min_element(candidates.begin(), candidates.end(),
-                                 less_reported);
-      case Chooser::kTwoChoices:
-        return std::min(candidates[any(m_world.m_random)],
-                        candidates[any(m_world.m_random)], less_reported);
+                                 has_lower_reported_load);
+      case SelectionPolicy::kTwoChoices:
+        return std::min(candidates[any(m_simulation.m_random)],
+                        candidates[any(m_simulation.m_random)],
+                        has_lower_reported_load);
       default:
-        return candidates[any(m_world.m_random)];
+        return candidates[any(m_simulation.m_random)];
     }
   }
 
   void Start(const Job& job, FakeBackend& backend) {
     ++backend.m_in_flight;
-    ++m_world.m_result.m_runs;
-    const Duration back =
-        m_world.Latency(job.m_arrival.m_home, backend.m_place) +
-        m_world.ClientLatency();
-    m_world.m_queue.After(
-        m_world.RunTime(job.m_arrival.m_service), [this, job, &backend, back] {
-          --backend.m_in_flight;
-          m_world.m_queue.After(back, [this, job] { End(job); });
-          DrainOracle(backend);
-        });
+    ++m_simulation.m_result.m_runs;
+    const Duration response_latency =
+        m_simulation.Latency(job.m_arrival.m_home, backend.m_place) +
+        m_simulation.ClientLatency();
+    m_simulation.m_queue.After(m_simulation.RunTime(job.m_arrival.m_service),
+                               [this, job, &backend, response_latency] {
+                                 --backend.m_in_flight;
+                                 m_simulation.m_queue.After(
+                                     response_latency,
+                                     [this, job] { End(job); });
+                                 DispatchQueued(backend);
+                               });
   }
 
   void End(const Job& job) {
-    const Service& service = m_world.m_config->Get(job.m_arrival.m_service);
-    if (m_world.m_queue.Now() - job.m_sent <=
-        service.m_deadline + 2 * m_world.ClientLatency()) {
-      m_world.CountAnswer(job.m_arrival.m_service, job.m_sent);
+    const Service& service =
+        m_simulation.m_config->Get(job.m_arrival.m_service);
+    if (m_simulation.m_queue.Now() - job.m_sent <=
+        service.m_deadline + 2 * m_simulation.ClientLatency()) {
+      m_simulation.CountResponse(job.m_arrival.m_service, job.m_sent);
     } else {
-      ++m_world.m_result.m_may_have_run;
-      ++m_world.m_result.m_wasted_runs;
+      ++m_simulation.m_result.m_may_have_run;
+      ++m_simulation.m_result.m_wasted_runs;
     }
   }
 
-  /// The oracle sees every slot without lag: the nearest free one, else the
-  /// region's queue, unless a free slot elsewhere is nearer than the wait.
+  /// The oracle knows the state of every slot without delay. It uses the
+  /// nearest free slot, unless the round trip to it takes longer than the
+  /// expected wait in the region's queue; then it queues the request.
   void ChooseAsOracle(const Job& job) {
-    const Snapshot& config = *m_world.m_config;
+    const Snapshot& config = *m_simulation.m_config;
     const RegionId home = config.Get(job.m_arrival.m_home).m_region;
     FakeBackend* best = nullptr;
     double region_slots = 0;
-    for (FakeBackend& backend : m_world.m_backends) {
+    for (FakeBackend& backend : m_simulation.m_backends) {
       if (backend.m_service != job.m_arrival.m_service || backend.m_down) {
         continue;
       }
@@ -168,8 +176,8 @@
                                   region_slots;
     const bool takes =
         best != nullptr &&
-        ToMilliseconds(2 * m_world.Latency(job.m_arrival.m_home,
-                                           best->m_place)) <= wait + 1.1;
+        ToMilliseconds(2 * m_simulation.Latency(job.m_arrival.m_home,
+                                                best->m_place)) <= wait + 1.1;
     if (takes) {
       Start(job, *best);
       return;
@@ -177,7 +185,7 @@
     if (region_slots == 0 ||
         wait > ToMilliseconds(config.Get(job.m_arrival.m_service).m_deadline) -
                    ToMilliseconds(run)) {
-      ++m_world.m_result.m_not_run;
+      ++m_simulation.m_result.m_not_run;
       return;
     }
     queue.push_back(job);
@@ -186,16 +194,17 @@
   bool IsNearer(const Job& job,
                 const FakeBackend& a,
                 const FakeBackend& b) const {
-    const Duration to_a = m_world.Latency(job.m_arrival.m_home, a.m_place);
-    const Duration to_b = m_world.Latency(job.m_arrival.m_home, b.m_place);
+    const Duration to_a = m_simulation.Latency(job.m_arrival.m_home, a.m_place);
+    const Duration to_b = m_simulation.Latency(job.m_arrival.m_home, b.m_place);
     if (to_a != to_b) {
       return to_a < to_b;
     }
     return a.m_in_flight * b.m_slots < b.m_in_flight * a.m_slots;
   }
 
-  void DrainOracle(FakeBackend& backend) {
-    const RegionId region = m_world.m_config->Get(backend.m_place).m_region;
+  void DispatchQueued(FakeBackend& backend) {
+    const RegionId region =
+        m_simulation.m_config->Get(backend.m_place).m_region;
     auto& queue = m_queues[{backend.m_service, region}];
     if (queue.empty() || backend.m_down) {
       return;
@@ -205,8 +214,8 @@
     Start(job, backend);
   }
 
-  World m_world;
-  std::map<PlaceId, size_t> m_next;
+  Simulation m_simulation;
+  std::map<PlaceId, size_t> m_round_robin_next;
   std::map<std::pair<ServiceId, RegionId>, std::deque<Job>> m_queues;
 };
 
--- a/trial/run_type.h
+++ b/trial/run_type.h
@@ -1,4 +1,4 @@
-/// @file run_type.h What a randomised run is given and what it finds.
+/// @file run_type.h Options and results of a randomised simulation run.
 
 #ifndef SORRELPLANK_TRIAL_RUN_TYPE_H_
 #define SORRELPLANK_TRIAL_RUN_TYPE_H_
@@ -13,24 +13,24 @@
 
 namespace sorrelplank::trial {
 
-/// What happens besides the calm load.
+/// Faults that are injected into the normal load.
 struct Faults {
-  bool m_kill = false;    ///< Entry VMs die and are replaced.
-  bool m_pause = false;   ///< Entry VMs stand still and go on.
-  bool m_cut = false;     ///< Failure domains cannot reach each other.
-  bool m_drain = false;   ///< Backend servers leave and come back.
-  bool m_stop = false;    ///< Entry VMs are asked to stop, and replaced.
-  bool m_wave = false;    ///< One place's callers send three times as much.
-  bool m_place = false;   ///< One place leaves under load.
-  bool m_region = false;  ///< One region is lost.
-  bool m_lie = false;     ///< A third of the reported loads is wrong.
-  bool m_freeze = false;  ///< Reported loads stand still.
-  bool m_late = false;    ///< Callers' requests are late on their way.
-  bool m_shift = false;   ///< A place's callers are moved to another.
+  bool m_kill = false;            ///< Entry VMs crash and are replaced.
+  bool m_pause = false;           ///< Entry VMs freeze and resume.
+  bool m_partition = false;       ///< Pairs of places can't reach each other.
+  bool m_drain = false;           ///< Backend servers drain and return.
+  bool m_stop = false;            ///< Entry VMs stop gracefully, are replaced.
+  bool m_traffic_burst = false;   ///< One place's callers send 3 times as much.
+  bool m_place = false;           ///< One place is drained under load.
+  bool m_region = false;          ///< One region fails.
+  bool m_false_reports = false;   ///< A third of the servers report zero load.
+  bool m_frozen_reports = false;  ///< Reported loads are never updated.
+  bool m_late_requests = false;   ///< Some callers' requests are delayed.
+  bool m_shift = false;           ///< One place's callers shift to another.
 };
 
-/// Who chooses the backend server.
-enum class Chooser : uint8_t {
+/// How the backend server of a request is selected.
+enum class SelectionPolicy : uint8_t {
   kProduct,
   kRandom,
   kRoundRobin,
@@ -39,21 +39,21 @@
   kOracle,
 };
 
-/// One run.
+/// Options of one run.
 struct RunOptions {
   std::string m_deployment = "trasa";
   std::string m_examples = "examples";
   uint64_t m_seed = 1;
   uint64_t m_requests = 100000;
   double m_load = 0.85;
-  Chooser m_chooser = Chooser::kProduct;
+  SelectionPolicy m_policy = SelectionPolicy::kProduct;
   Faults m_faults;
   Safeguards m_safeguards;
   /// Print the last events before a violation.
   bool m_trace = false;
 };
 
-/// What the run measured.
+/// Measurements of one run.
 struct RunResult {
   uint64_t m_sent = 0;
   uint64_t m_answered = 0;
@@ -64,20 +64,20 @@
   uint64_t m_sheds = 0;
   uint64_t m_hand_ons = 0;
   Duration m_elapsed{};
-  /// By service.
+  /// Latencies of answered requests, by service name.
   std::map<std::string, std::vector<Duration>> m_latencies;
-  /// Least share of free slots of any place, averaged over a second.
-  double m_least_headroom = 1;
-  /// Answers within the run's time over what all slots could do.
+  /// Lowest share of free slots of any place, averaged over one second.
+  double m_min_headroom = 1;
+  /// Responses during the run / the capacity of all slots.
   double m_goodput = 0;
-  Duration m_longest_drain{};
+  Duration m_max_drain{};
   std::map<std::string, uint64_t> m_reasons;
-  /// The first promise that was broken; empty where none was.
+  /// The first guarantee that was violated; empty if none was.
   std::string m_violation;
   std::vector<std::string> m_trace;
 };
 
-/// Runs; never throws.
+/// Runs one simulation; never throws.
 RunResult RunProduct(const RunOptions& options);
 RunResult RunBaseline(const RunOptions& options);
 
--- a/trial/world.cc
+++ b/trial/simulation.cc
@@ -1,6 +1,6 @@
-/// @file world.cc Load, run times and measurements.
+/// @file simulation.cc Generated load, run times and measurements.
 
-#include "trial/world.h"
+#include "trial/simulation.h"
 
 #include <algorithm>
 #include <filesystem>
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr Duration kSampleStep = milliseconds(50);
+constexpr Duration kSampleInterval = milliseconds(50);
 constexpr int kSamplesPerWindow = 20;
 constexpr int kClientsPerPlace = 40;
-constexpr double kWaveFactor = 3;
+constexpr double kTrafficBurstFactor = 3;
 
 }  // namespace
 
-World::World(const RunOptions& options)
+Simulation::Simulation(const RunOptions& options)
     : m_random(options.m_seed),
       m_options(options),
       m_files(ReadFolder(options.m_examples + "/" + options.m_deployment)),
@@ -33,8 +33,9 @@
     const BackendServer& backend = m_config->m_backends[at];
     m_backends.push_back({BackendId(static_cast<uint32_t>(at)),
                           backend.m_service, backend.m_place, backend.m_slots,
-                          0, 0, at % 3 == 0 && options.m_faults.m_lie, false});
-    // Mean run time equals the expected one, see RunTime.
+                          0, 0, at % 3 == 0 && options.m_faults.m_false_reports,
+                          false});
+    // RunTime has the expected run time as its mean.
     m_rates[backend.m_service.Get()] +=
         options.m_load * backend.m_slots /
         std::chrono::duration<double>(
@@ -55,7 +56,7 @@
   }
 }
 
-void World::StartArrivals(std::function<void(const Arrival&)> sink) {
+void Simulation::StartArrivals(std::function<void(const Arrival&)> sink) {
   m_sink = std::move(sink);
   m_started = m_queue.Now();
   for (size_t at = 0; at < m_rates.size(); ++at) {
@@ -63,7 +64,7 @@
   }
 }
 
-void World::ScheduleArrival(ServiceId service) {
+void Simulation::ScheduleArrival(ServiceId service) {
   std::exponential_distribution<double> gap(m_rates[service.Get()]);
   const std::chrono::duration<double> wait(gap(m_random));
   m_queue.After(std::chrono::duration_cast<Duration>(wait), [this, service] {
@@ -82,20 +83,21 @@
   });
 }
 
-PlaceId World::PickHome() {
+PlaceId Simulation::PickHome() {
   const auto count = static_cast<double>(m_clients.size());
   std::uniform_real_distribution<double> any(
-      0, m_options.m_faults.m_wave ? count + kWaveFactor - 1 : count);
+      0, m_options.m_faults.m_traffic_burst ? count + kTrafficBurstFactor - 1
+                                            : count);
   const double at = any(m_random);
   return PlaceId(at >= count ? uint16_t{0} : static_cast<uint16_t>(at));
 }
 
-void World::StartSampling() {
+void Simulation::StartSampling() {
   m_busy_sums.assign(m_config->m_places.size(), 0);
-  m_queue.After(kSampleStep, [this] { Sample(); });
+  m_queue.After(kSampleInterval, [this] { Sample(); });
 }
 
-void World::Sample() {
+void Simulation::Sample() {
   std::vector<double> slots(m_busy_sums.size(), 0);
   std::vector<double> busy(m_busy_sums.size(), 0);
   for (FakeBackend& backend : m_backends) {
@@ -104,9 +106,11 @@
     }
     slots[backend.m_place.Get()] += backend.m_slots;
     busy[backend.m_place.Get()] += backend.m_in_flight;
-    if (!m_options.m_faults.m_freeze && m_samples == 0) {
-      backend.m_reported =
-          backend.m_lies ? 0 : backend.m_in_flight;  // A second old at worst.
+    if (!m_options.m_faults.m_frozen_reports && m_samples == 0) {
+      backend.m_reported_in_flight =
+          backend.m_has_false_reports
+              ? 0
+              : backend.m_in_flight;  // At most a second old.
     }
   }
   for (size_t at = 0; at < slots.size(); ++at) {
@@ -114,26 +118,26 @@
   }
   if (++m_samples == kSamplesPerWindow) {
     for (double& sum : m_busy_sums) {
-      m_result.m_least_headroom =
-          std::min(m_result.m_least_headroom, 1 - sum / kSamplesPerWindow);
+      m_result.m_min_headroom =
+          std::min(m_result.m_min_headroom, 1 - sum / kSamplesPerWindow);
       sum = 0;
     }
     m_samples = 0;
   }
   if (!m_arrivals_over) {
-    m_queue.After(kSampleStep, [this] { Sample(); });
+    m_queue.After(kSampleInterval, [this] { Sample(); });
   }
 }
 
-Duration World::Latency(PlaceId a, PlaceId b) const {
+Duration Simulation::Latency(PlaceId a, PlaceId b) const {
   return a == b ? microseconds(100) : PlaceLatency(*m_config, a, b);
 }
 
-Duration World::ClientLatency() const {
+Duration Simulation::ClientLatency() const {
   return m_options.m_deployment == "trasa" ? milliseconds(3) : milliseconds(1);
 }
 
-Duration World::RunTime(ServiceId service) {
+Duration Simulation::RunTime(ServiceId service) {
   std::exponential_distribution<double> spread(1);
   const double factor = 0.5 + 0.5 * spread(m_random);
   return Duration(static_cast<int64_t>(
@@ -141,20 +145,21 @@
       static_cast<double>(m_config->Get(service).m_expected_run.count())));
 }
 
-void World::CountAnswer(ServiceId service, TimePoint sent) {
+void Simulation::CountResponse(ServiceId service, TimePoint sent) {
   ++m_result.m_answered;
   m_result.m_latencies[m_config->Get(service).m_name].push_back(m_queue.Now() -
                                                                 sent);
 }
 
-void World::Fail(const std::string& violation) {
+void Simulation::Fail(const std::string& violation) {
   if (m_result.m_violation.empty()) {
     m_result.m_violation = violation;
   }
 }
 
-std::shared_ptr<const Snapshot> World::Parse(uint64_t version,
-                                             const std::string& overlay) const {
+std::shared_ptr<const Snapshot> Simulation::Parse(
+    uint64_t version,
+    const std::string& overlay) const {
   ConfigFiles files = m_files;
   if (!overlay.empty()) {
     files.push_back({"99-overlay.json", overlay});
--- a/trial/world.h
+++ b/trial/simulation.h
@@ -1,7 +1,8 @@
-/// @file world.h Fakes that the product and the baselines share.
+/// @file simulation.h Simulated environment that the product and the baselines
+/// share.
 
-#ifndef SORRELPLANK_TRIAL_WORLD_H_
-#define SORRELPLANK_TRIAL_WORLD_H_
+#ifndef SORRELPLANK_TRIAL_SIMULATION_H_
+#define SORRELPLANK_TRIAL_SIMULATION_H_
 
 #include <functional>
 #include <memory>
@@ -17,20 +18,22 @@
 
 namespace sorrelplank::trial {
 
-/// A backend server: slots, random run times, shedding, deadlines.
+/// A simulated backend server. The runs simulate its run times, load shedding
+/// and deadlines.
 struct FakeBackend {
   BackendId m_id;
   ServiceId m_service;
   PlaceId m_place;
   uint32_t m_slots = 0;
   uint32_t m_in_flight = 0;
-  /// As last reported, a second ago at the most unless frozen.
-  uint32_t m_reported = 0;
-  bool m_lies = false;
+  /// Requests in flight as last reported: at most one second old, except with
+  /// the fault that freezes reports.
+  uint32_t m_reported_in_flight = 0;
+  bool m_has_false_reports = false;
   bool m_down = false;
 };
 
-/// A request of a caller.
+/// A request that arrives from a caller.
 struct Arrival {
   uint64_t m_number = 0;
   ServiceId m_service;
@@ -38,25 +41,28 @@
   uint32_t m_client_ip = 0;
 };
 
-/// Backend servers, arrivals, latencies and measurements of one deployment.
-class World {
+/// Backend servers, arriving requests, latencies and measurements of one
+/// deployment.
+class Simulation {
  public:
-  explicit World(const RunOptions& options);
+  explicit Simulation(const RunOptions& options);
 
-  /// Schedules Poisson arrivals until the wanted number was sent.
+  /// Passes requests with Poisson arrivals to the sink, until as many were sent
+  /// as the options say.
   void StartArrivals(std::function<void(const Arrival&)> sink);
-  /// Samples headroom and reports from now on.
+  /// Starts to sample the headroom and to update the reported loads.
   void StartSampling();
 
-  /// One way between two places.
+  /// One-way latency between two places.
   Duration Latency(PlaceId a, PlaceId b) const;
   Duration ClientLatency() const;
   Duration RunTime(ServiceId service);
 
-  void CountAnswer(ServiceId service, TimePoint sent);
+  void CountResponse(ServiceId service, TimePoint sent);
   void Fail(const std::string& violation);
 
-  /// A snapshot from the example's files and one more file.
+  /// Parses the deployment's files, with one more file if the overlay isn't
+  /// empty. Throws std::runtime_error if they are invalid.
   std::shared_ptr<const Snapshot> Parse(uint64_t version,
                                         const std::string& overlay) const;
 
@@ -85,4 +91,4 @@
 
 }  // namespace sorrelplank::trial
 
-#endif  // SORRELPLANK_TRIAL_WORLD_H_
+#endif  // SORRELPLANK_TRIAL_SIMULATION_H_
--- a/trial/trial_main.cc
+++ b/trial/trial_main.cc
@@ -1,4 +1,4 @@
-/// @file trial_main.cc Command line of the randomised runs.
+/// @file trial_main.cc Command line of the randomised simulations.
 
 #include <tclap/CmdLine.h>
 
@@ -11,7 +11,7 @@
 namespace sorrelplank::trial {
 namespace {
 
-/// A flag of a struct by its name on the command line.
+/// A flag of a struct and its name on the command line.
 template <typename Struct>
 struct NamedFlag {
   const char* m_name;
@@ -19,12 +19,12 @@
 };
 
 constexpr NamedFlag<Faults> kFaults[] = {
-    {"kill", &Faults::m_kill},   {"pause", &Faults::m_pause},
-    {"cut", &Faults::m_cut},     {"drain", &Faults::m_drain},
-    {"stop", &Faults::m_stop},   {"wave", &Faults::m_wave},
-    {"place", &Faults::m_place}, {"region", &Faults::m_region},
-    {"lie", &Faults::m_lie},     {"freeze", &Faults::m_freeze},
-    {"late", &Faults::m_late},   {"shift", &Faults::m_shift}};
+    {"kill", &Faults::m_kill},          {"pause", &Faults::m_pause},
+    {"cut", &Faults::m_partition},      {"drain", &Faults::m_drain},
+    {"stop", &Faults::m_stop},          {"wave", &Faults::m_traffic_burst},
+    {"place", &Faults::m_place},        {"region", &Faults::m_region},
+    {"lie", &Faults::m_false_reports},  {"freeze", &Faults::m_frozen_reports},
+    {"late", &Faults::m_late_requests}, {"shift", &Faults::m_shift}};
 
 constexpr NamedFlag<Safeguards> kSafeguards[] = {
     {"takeover_wait", &Safeguards::m_takeover_wait},
@@ -37,21 +37,22 @@
     {"abort_grace", &Safeguards::m_abort_grace},
     {"version_floor", &Safeguards::m_version_floor}};
 
-/// A chooser by its name on the command line.
-struct NamedChooser {
+/// A selection policy and its name on the command line.
+struct NamedPolicy {
   const char* m_name;
-  Chooser m_chooser;
+  SelectionPolicy m_policy;
 };
 
-constexpr NamedChooser kChoosers[] = {
-    {"product", Chooser::kProduct},
-    {"random", Chooser::kRandom},
-    {"round_robin", Chooser::kRoundRobin},
-    {"least_reported", Chooser::kLeastReported},
-    {"two_choices", Chooser::kTwoChoices},
-    {"oracle", Chooser::kOracle}};
+constexpr NamedPolicy kPolicies[] = {
+    {"product", SelectionPolicy::kProduct},
+    {"random", SelectionPolicy::kRandom},
+    {"round_robin", SelectionPolicy::kRoundRobin},
+    {"least_reported", SelectionPolicy::kLeastReported},
+    {"two_choices", SelectionPolicy::kTwoChoices},
+    {"oracle", SelectionPolicy::kOracle}};
 
-/// Sets the named flags of a comma-separated list; false on an unknown name.
+/// Sets the flags that a comma-separated list names; returns false if a name is
+/// unknown.
 template <typename Struct, size_t kCount>
 bool SetFlags(const std::string& list,
               const NamedFlag<Struct> (&names)[kCount],
@@ -64,7 +65,7 @@
         std::find_if(std::begin(names), std::end(names),
                      [&](const auto& row) { return name == row.m_name; });
     if (known == std::end(names)) {
-      std::cerr << "trial: unknown name " << name << "\n";
+      std::cerr << "trial: unknown fault or safeguard " << name << "\n";
       return false;
     }
     flags.*(known->m_flag) = value;
@@ -101,8 +102,8 @@
             << " p50_ms=" << PercentileMs(all, 0.5)
             << " p99_ms=" << PercentileMs(all, 0.99)
             << " p999_ms=" << PercentileMs(all, 0.999)
-            << " headroom=" << result.m_least_headroom
-            << " drain_ms=" << ToMilliseconds(result.m_longest_drain)
+            << " headroom=" << result.m_min_headroom
+            << " drain_ms=" << ToMilliseconds(result.m_max_drain)
             << " answered_per_s="
             << static_cast<double>(result.m_answered) /
                    std::chrono::duration<double>(result.m_elapsed).count()
@@ -131,8 +132,9 @@
   TCLAP::ValueArg<uint64_t> seed("", "seed", "seed", false, 1, "N", line);
   TCLAP::ValueArg<uint64_t> requests("", "requests", "requests to send", false,
                                      100000, "N", line);
-  TCLAP::ValueArg<double> load("", "load", "share of all slots", false, 0.85,
-                               "SHARE", line);
+  TCLAP::ValueArg<double> load("", "load",
+                               "offered load as a share of all slots", false,
+                               0.85, "SHARE", line);
   TCLAP::ValueArg<std::string> deployment(
       "", "deployment", "trasa or porttivuoro", false, "trasa", "NAME", line);
   TCLAP::ValueArg<std::string> examples("", "examples", "folder of examples",
@@ -145,7 +147,7 @@
       "", "faults",
       "kill,pause,cut,drain,stop,wave,place,region,lie,freeze,late,shift",
       false, "", "LIST", line);
-  TCLAP::ValueArg<std::string> without("", "without", "safeguards to take out",
+  TCLAP::ValueArg<std::string> without("", "without", "safeguards to disable",
                                        false, "", "LIST", line);
   line.parse(argc, argv);
   RunOptions options;
@@ -155,17 +157,18 @@
   options.m_deployment = deployment.getValue();
   options.m_examples = examples.getValue();
   const auto* named = std::find_if(
-      std::begin(kChoosers), std::end(kChoosers),
+      std::begin(kPolicies), std::end(kPolicies),
       [&](const auto& row) { return chooser.getValue() == row.m_name; });
-  if (named == std::end(kChoosers) ||
+  if (named == std::end(kPolicies) ||
       !SetFlags(faults.getValue(), kFaults, true, options.m_faults) ||
       !SetFlags(without.getValue(), kSafeguards, false, options.m_safeguards)) {
     return 2;
   }
-  options.m_chooser = named->m_chooser;
+  options.m_policy = named->m_policy;
   return Report(options, named->m_name,
-                options.m_chooser == Chooser::kProduct ? RunProduct(options)
-                                                       : RunBaseline(options));
+                options.m_policy == SelectionPolicy::kProduct
+                    ? RunProduct(options)
+                    : RunBaseline(options));
 }
 
 }  // namespace
