--- a/tests/quota_world_test.cc
+++ b/tests/quota_world_test.cc
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "trial/quota_world.h"
+#include "trial/quota_simulation.h"
 
 namespace sorrelplank::trial {
 namespace {
@@ -31,16 +31,16 @@
           .m_home_regions = {}};
 }
 
-QuotaWorldOptions Options(uint64_t seed, size_t vms = 12) {
+QuotaSimulationOptions Options(uint64_t seed, size_t vms = 12) {
   return {.m_vms = vms, .m_seed = seed};
 }
 
-TestSuite(QuotaWorld, .timeout = 240);
+TestSuite(QuotaSimulation, .timeout = 240);
 
 // No organisation exceeds its limit, and every request must pass.
-Test(QuotaWorld, NormalLoad_SmallAndLargeLimits_AllPass) {
+Test(QuotaSimulation, NormalLoad_SmallAndLargeLimits_AllPass) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    QuotaWorld world(Options(seed, 76));
+    QuotaSimulation world(Options(seed, 76));
     for (const double rate : {2.0, 20.0, 450.0}) {
       world.AddOrganisation(MakeOrganisation(std::to_string(rate), rate),
                             rate * kNormalRate / kRate);
@@ -51,22 +51,24 @@
       cr_assert_leq(result.Shortfall(), kMaxRefusedWhenCalm,
                     "seed %lu rate %g: %g refused", seed, rate,
                     result.Shortfall());
-      cr_assert_leq(result.m_worst_window, 1, "seed %lu rate %g", seed, rate);
+      cr_assert_leq(result.m_max_window_ratio, 1, "seed %lu rate %g", seed,
+                    rate);
     }
   }
 }
 
 // One organisation sends 7.5 times its normal load. It gets its limit and no
 // more, and the other one gets all of its requests through.
-Test(QuotaWorld, OneOverloads_AllVms_LimitHolds) {
+Test(QuotaSimulation, OneOverloads_AllVms_LimitHolds) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    QuotaWorld world(Options(seed, 76));
+    QuotaSimulation world(Options(seed, 76));
     world.AddOrganisation(MakeOrganisation("hot", kRate), kNormalRate);
     world.AddOrganisation(MakeOrganisation("calm", kRate), kNormalRate);
     world.SetDemand("hot", seconds(5), kNormalRate * kOverloadFactor);
     world.SetDemand("hot", seconds(15), kNormalRate);
     world.Run(seconds(25));
-    cr_assert_leq(world.ResultOf("hot").m_worst_window, 1, "seed %lu", seed);
+    cr_assert_leq(world.ResultOf("hot").m_max_window_ratio, 1, "seed %lu",
+                  seed);
     cr_assert_leq(world.ResultOf("hot").Shortfall(), kMaxRefusedUnderOverload,
                   "seed %lu: %g refused", seed,
                   world.ResultOf("hot").Shortfall());
@@ -77,22 +79,22 @@
 
 // The clients of an organisation use two of 76 VMs. With equal shares for all
 // VMs these would have 2/76 of the limit.
-Test(QuotaWorld, ClientsAtFewVms_NormalLoad_AllPass) {
-  QuotaWorldOptions options = Options(3, 76);
-  options.m_vms_of_clients = 2;
-  QuotaWorld world(options);
+Test(QuotaSimulation, ClientsAtFewVms_NormalLoad_AllPass) {
+  QuotaSimulationOptions options = Options(3, 76);
+  options.m_client_vms = 2;
+  QuotaSimulation world(options);
   world.AddOrganisation(MakeOrganisation("few", kRate), kNormalRate);
   world.Run(seconds(30));
   cr_assert_leq(world.ResultOf("few").Shortfall(), kMaxRefusedWhenCalm);
-  cr_assert_leq(world.ResultOf("few").m_worst_window, 1);
+  cr_assert_leq(world.ResultOf("few").m_max_window_ratio, 1);
 }
 
 /// Four random faults while one organisation overloads.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
-  QuotaWorldOptions options = Options(seed, 12);
+  QuotaSimulationOptions options = Options(seed, 12);
   options.m_loss = 0.02;
-  QuotaWorld world(options);
+  QuotaSimulation world(options);
   const double rate = seed % 2 == 0 ? 4 : 200;
   world.AddOrganisation(MakeOrganisation("hot", rate),
                         rate * kOverloadFactor * kNormalRate / kRate);
@@ -105,7 +107,7 @@
         world.Kill(vm, at, lasts);
         break;
       case 1:
-        world.Cut({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
+        world.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
         break;
       case 2:
         world.KillAll(at, lasts);
@@ -116,13 +118,13 @@
     }
   }
   world.Run(seconds(20));
-  return world.ResultOf("hot").m_worst_window;
+  return world.ResultOf("hot").m_max_window_ratio;
 }
 
 // While one organisation overloads, keepers are killed and lose their state;
 // all VMs are killed at once; VMs are cut off while they hold tokens; the limit
 // is lowered. With any random faults, no window exceeds the bound.
-Test(QuotaWorld, RandomFaults_OneOverloads_LimitHolds) {
+Test(QuotaSimulation, RandomFaults_OneOverloads_LimitHolds) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 200; ++seed) {
     const double worst = WorstWindowUnderFaults(seed);
@@ -136,8 +138,8 @@
 
 // All VMs restart under normal load. Their new buckets start with few tokens;
 // soon afterwards all requests must pass again.
-Test(QuotaWorld, AllRestart_NormalLoad_PassesSoon) {
-  QuotaWorld world(Options(7, 76));
+Test(QuotaSimulation, AllRestart_NormalLoad_PassesSoon) {
+  QuotaSimulation world(Options(7, 76));
   world.AddOrganisation(MakeOrganisation("usual", kRate), kNormalRate);
   world.KillAll(seconds(10), milliseconds(1400));
   world.Run(seconds(30));
--- a/tests/server_limit_test.cc
+++ b/tests/server_limit_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "tests/steering_fixture.h"
-#include "trial/limit_world.h"
+#include "trial/limit_simulation.h"
 
 namespace sorrelplank::trial {
 namespace {
@@ -21,12 +21,12 @@
 Test(ServerLimit, NamedInResponses_AllVmsSend_SumStaysWithinTheBound) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    LimitWorld world({.m_seed = seed});
+    LimitSimulation world({.m_seed = seed});
     world.SetLimit(0, seconds(8), 3.3);
     world.SetLimit(4, seconds(8), 1.7);
     world.Run(seconds(40));
     for (const size_t server : {0, 4}) {
-      const double worst = world.ResultOf(server).m_worst_window;
+      const double worst = world.ResultOf(server).m_max_window_ratio;
       if (worst > 1) {
         broken += std::to_string(seed) + ": " + std::to_string(worst) + "  ";
       }
@@ -39,19 +39,19 @@
 // Guards against a limit of which the VMs leave most unused.
 Test(ServerLimit, NamedInResponses_LoadAboveTheLimit_MostOfItIsUsed) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    LimitWorld world({.m_seed = seed});
+    LimitSimulation world({.m_seed = seed});
     world.SetLimit(0, seconds(8), 3.3);
     world.SetLimit(4, seconds(8), 1.7);
     world.Run(seconds(40));
-    cr_assert_geq(world.ResultOf(0).m_used, 0.8, "seed %lu", seed);
-    cr_assert_geq(world.ResultOf(4).m_used, 0.8, "seed %lu", seed);
+    cr_assert_geq(world.ResultOf(0).m_used_share, 0.8, "seed %lu", seed);
+    cr_assert_geq(world.ResultOf(4).m_used_share, 0.8, "seed %lu", seed);
   }
 }
 
 // Guards against requests that wait or fail while other servers have free
 // slots.
 Test(ServerLimit, NamedInResponses_OtherServersFree_AllAreAnswered) {
-  LimitWorld world({.m_seed = 1});
+  LimitSimulation world({.m_seed = 1});
   world.SetLimit(0, seconds(8), 3.3);
   world.SetLimit(4, seconds(8), 0);
   world.Run(seconds(40));
@@ -62,13 +62,13 @@
 // Guards against a server that never gets requests again: only its responses
 // show that a limit has ended.
 Test(ServerLimit, LimitOfZeroEnds_Server_GetsItsShareAgain) {
-  LimitWorld world({.m_seed = 1});
+  LimitSimulation world({.m_seed = 1});
   world.SetLimit(0, seconds(8), 0);
   world.SetLimit(0, seconds(20), -1);
   world.SetLimit(0, seconds(40), 100);
   world.Run(seconds(60));
-  cr_assert_leq(world.ResultOf(0).m_worst_window, 1);
-  cr_assert_geq(world.ResultOf(0).m_used, 0.05);
+  cr_assert_leq(world.ResultOf(0).m_max_window_ratio, 1);
+  cr_assert_geq(world.ResultOf(0).m_used_share, 0.05);
 }
 
 // Guards against a Retry-After that is too early for the servers at their limit
@@ -153,7 +153,7 @@
 /// Five random faults while two servers name limits.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
-  LimitWorld world({.m_seed = seed, .m_loss = 0.02});
+  LimitSimulation world({.m_seed = seed, .m_loss = 0.02});
   world.SetLimit(0, seconds(3), 3.3);
   world.SetLimit(4, seconds(3), 1.7);
   for (int fault = 0; fault < 5; ++fault) {
@@ -166,7 +166,7 @@
         world.Kill(vm, at, lasts);
         break;
       case 1:
-        world.Cut({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
+        world.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
         break;
       case 2:
         world.RestartServer(server, at);
@@ -185,8 +185,8 @@
     }
   }
   world.Run(seconds(30));
-  return std::max(world.ResultOf(0).m_worst_window,
-                  world.ResultOf(4).m_worst_window);
+  return std::max(world.ResultOf(0).m_max_window_ratio,
+                  world.ResultOf(4).m_max_window_ratio);
 }
 
 // Guards against a sum over the bound while keepers are killed, VMs are cut
