--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -233,8 +233,8 @@
 
 void SoakWorld::EndAttempt(const std::string& id, const HttpResult& result) {
   const ProxyNames names = platform::HeaderNames();
-  if (result.m_end != FetchEnd::kAnswered) {
-    const bool is_connected = result.m_end != FetchEnd::kConnectFailed;
+  if (result.m_end != FetchOutcome::kAnswered) {
+    const bool is_connected = result.m_end != FetchOutcome::kConnectFailed;
     m_ledger.Ended(id,
                    is_connected ? CallerEnd::kCut : CallerEnd::kNotAccepted);
     return;
--- a/src/cli/apply_command.cc
+++ b/src/cli/apply_command.cc
@@ -1,4 +1,4 @@
-/// @file apply_command.cc sorrelplank diff and sorrelplank apply.
+/// @file apply_command.cc Commands sorrelplank diff and sorrelplank apply.
 
 #include <chrono>
 #include <iostream>
@@ -20,8 +20,8 @@
 
 using nlohmann::json;
 
-constexpr Duration kWaitAtMost = seconds(30);
-constexpr Duration kWaitStep = milliseconds(200);
+constexpr Duration kMaxInForceWait = seconds(30);
+constexpr Duration kInForcePollInterval = milliseconds(200);
 
 const char* ChangeName(FileChange change) {
   switch (change) {
@@ -42,15 +42,15 @@
   return id.str();
 }
 
-/// Output of one command, for people or programs.
+/// Output of one command, as text or as JSON.
 class Report {
  public:
   explicit Report(bool as_json) : m_as_json(as_json) {}
 
-  int End(int exit,
-          const std::string& outcome,
-          const std::string& text,
-          json fields = json::object()) {
+  int Finish(int exit,
+             const std::string& outcome,
+             const std::string& text,
+             json fields = json::object()) {
     if (m_as_json) {
       fields["outcome"] = outcome;
       fields["text"] = text;
@@ -61,8 +61,8 @@
     return exit;
   }
 
-  void Changes(const std::vector<PlannedFile>& changes,
-               const std::vector<std::string>& rebased) const {
+  void PrintChanges(const std::vector<PlannedFile>& changes,
+                    const std::vector<std::string>& rebased) const {
     if (m_as_json) {
       return;
     }
@@ -88,15 +88,15 @@
   return list;
 }
 
-int EndRefused(Report& report, const PublishRefused& refused) {
+int ReportRefused(Report& report, const PublishRefused& refused) {
   std::string text;
   for (const Fault& fault : refused.m_faults) {
     text += (text.empty() ? "" : "\n") + FormatFault(fault);
   }
-  return report.End(kExitRefused, "refused", text);
+  return report.Finish(kExitRefused, "refused", text);
 }
 
-int EndConflict(Report& report, const PublishConflict& conflict) {
+int ReportConflict(Report& report, const PublishConflict& conflict) {
   std::string text = "refused: changed here since version " +
                      std::to_string(conflict.m_base.Get()) +
                      " and by another operator up to version " +
@@ -104,13 +104,13 @@
   for (const std::string& file : conflict.m_files) {
     text += " " + file;
   }
-  return report.End(kExitRefused, "conflict", text,
-                    {{"files", conflict.m_files},
-                     {"base_version", conflict.m_base.Get()},
-                     {"current_version", conflict.m_current.Get()}});
+  return report.Finish(kExitRefused, "conflict", text,
+                       {{"files", conflict.m_files},
+                        {"base_version", conflict.m_base.Get()},
+                        {"current_version", conflict.m_current.Get()}});
 }
 
-/// What the entry VMs run, by the operator port of one of them.
+/// Configuration versions of the entry VMs, as reported by one of them.
 struct FleetVersions {
   uint64_t m_highest = 0;
   std::vector<std::string> m_behind;
@@ -125,7 +125,7 @@
   for (const VmAddress& address : via) {
     const HttpResult result = http.Get(address, "/v1/status");
     const json status = json::parse(result.m_response.m_body, nullptr, false);
-    if (result.m_end != FetchEnd::kAnswered || !status.is_object()) {
+    if (result.m_end != FetchOutcome::kAnswered || !status.is_object()) {
       continue;
     }
     versions.m_is_known = true;
@@ -156,34 +156,34 @@
   return text;
 }
 
-/// Waits until every reachable entry VM runs the version.
-int WaitInForce(BlockingHttp& http,
-                Report& report,
-                const std::vector<VmAddress>& via,
-                uint64_t version) {
+/// Waits until every reachable entry VM uses the version.
+int WaitUntilInForce(BlockingHttp& http,
+                     Report& report,
+                     const std::vector<VmAddress>& via,
+                     uint64_t version) {
   const auto started = std::chrono::steady_clock::now();
   FleetVersions fleet;
-  while (std::chrono::steady_clock::now() - started < kWaitAtMost) {
+  while (std::chrono::steady_clock::now() - started < kMaxInForceWait) {
     fleet = ReadVersions(http, via, version);
     if (fleet.m_is_known && fleet.m_behind.empty()) {
       const std::string missing =
           fleet.m_unreachable.empty()
               ? ""
               : "; unreachable: " + Join(fleet.m_unreachable);
-      return report.End(
+      return report.Finish(
           kExitDone, "in_force",
           "version " + std::to_string(version) +
               " is in force in every reachable place" + missing,
           {{"version", version}, {"unreachable", fleet.m_unreachable}});
     }
-    std::this_thread::sleep_for(kWaitStep);
+    std::this_thread::sleep_for(kInForcePollInterval);
   }
   const std::string text =
       fleet.m_is_known
           ? "accepted, but not yet in force at: " + Join(fleet.m_behind)
           : "accepted, but no entry VM answers --via";
-  return report.End(kExitUnreachable, "accepted_not_in_force", text,
-                    {{"version", version}, {"behind", fleet.m_behind}});
+  return report.Finish(kExitUnreachable, "accepted_not_in_force", text,
+                       {{"version", version}, {"behind", fleet.m_behind}});
 }
 
 /// Options that diff and apply share.
@@ -203,24 +203,24 @@
   TCLAP::SwitchArg m_json;
 };
 
-int Apply(const PublishOrder& order,
+int Apply(const PublishRequest& request,
           const std::string& folder,
           const PlatformStore& store,
           Report& report,
           uint64_t& version) {
-  PublishResult result = Publish(order, store);
+  PublishResult result = Publish(request, store);
   if (const auto* refused = std::get_if<PublishRefused>(&result)) {
-    return EndRefused(report, *refused);
+    return ReportRefused(report, *refused);
   }
   if (const auto* conflict = std::get_if<PublishConflict>(&result)) {
-    return EndConflict(report, *conflict);
+    return ReportConflict(report, *conflict);
   }
-  if (const auto* gone = std::get_if<PublishUnavailable>(&result)) {
-    return report.End(kExitUnreachable, "unavailable",
-                      "nothing was accepted: " + gone->m_what);
+  if (const auto* unavailable = std::get_if<PublishUnavailable>(&result)) {
+    return report.Finish(kExitUnreachable, "unavailable",
+                         "nothing was accepted: " + unavailable->m_reason);
   }
   if (const auto* unknown = std::get_if<PublishUnknown>(&result)) {
-    return report.End(
+    return report.Finish(
         kExitUnreachable, "unknown",
         "it is not known whether the change was accepted; once the platform "
         "answers, settle it with: sorrelplank apply " +
@@ -229,15 +229,15 @@
   }
   const auto& accepted = std::get<PublishAccepted>(result);
   version = accepted.m_head.m_version.Get();
-  report.Changes(accepted.m_changes, accepted.m_rebased);
+  report.PrintChanges(accepted.m_changes, accepted.m_rebased);
   if (accepted.m_rebased.empty()) {
     WriteBase(folder, accepted.m_head);
   }
-  return report.End(kExitDone, "accepted",
-                    "accepted as version " + std::to_string(version),
-                    {{"version", version},
-                     {"changes", ChangesToJson(accepted.m_changes)},
-                     {"kept", accepted.m_rebased}});
+  return report.Finish(kExitDone, "accepted",
+                       "accepted as version " + std::to_string(version),
+                       {{"version", version},
+                        {"changes", ChangesToJson(accepted.m_changes)},
+                        {"kept", accepted.m_rebased}});
 }
 
 }  // namespace
@@ -260,25 +260,26 @@
     const PlanResult result = PlanPublish(ReadFolder(folder), ReadBase(folder),
                                           http.Platform(platform));
     if (const auto* refused = std::get_if<PublishRefused>(&result)) {
-      return EndRefused(report, *refused);
+      return ReportRefused(report, *refused);
     }
     if (const auto* conflict = std::get_if<PublishConflict>(&result)) {
-      return EndConflict(report, *conflict);
+      return ReportConflict(report, *conflict);
     }
-    if (const auto* gone = std::get_if<PublishUnavailable>(&result)) {
-      return report.End(kExitUnreachable, "unavailable", gone->m_what);
+    if (const auto* unavailable = std::get_if<PublishUnavailable>(&result)) {
+      return report.Finish(kExitUnreachable, "unavailable",
+                           unavailable->m_reason);
     }
     const auto& plan = std::get<PublishPlan>(result);
-    report.Changes(plan.m_changes, plan.m_rebased);
-    return report.End(kExitDone, "planned",
-                      std::to_string(plan.m_changes.size()) +
-                          " files differ from version " +
-                          std::to_string(plan.m_on_top_of.Get()),
-                      {{"changes", ChangesToJson(plan.m_changes)},
-                       {"kept", plan.m_rebased},
-                       {"version", plan.m_on_top_of.Get()}});
+    report.PrintChanges(plan.m_changes, plan.m_rebased);
+    return report.Finish(kExitDone, "planned",
+                         std::to_string(plan.m_changes.size()) +
+                             " files differ from version " +
+                             std::to_string(plan.m_parent_version.Get()),
+                         {{"changes", ChangesToJson(plan.m_changes)},
+                          {"kept", plan.m_rebased},
+                          {"version", plan.m_parent_version.Get()}});
   } catch (const std::runtime_error& error) {
-    return report.End(kExitRefused, "refused", error.what());
+    return report.Finish(kExitRefused, "refused", error.what());
   }
 }
 
@@ -312,20 +313,20 @@
   try {
     const std::string& folder = options.m_folder.getValue();
     BlockingHttp http;
-    PublishOrder order;
-    order.m_folder = ReadFolder(folder);
-    order.m_base = ReadBase(folder);
-    order.m_change_id = id_arg.isSet() ? id_arg.getValue() : MakeChangeId();
-    order.m_floor = ConfigVersion(ReadVersions(http, via, 0).m_highest);
+    PublishRequest request;
+    request.m_folder = ReadFolder(folder);
+    request.m_base = ReadBase(folder);
+    request.m_change_id = id_arg.isSet() ? id_arg.getValue() : MakeChangeId();
+    request.m_min_version = ConfigVersion(ReadVersions(http, via, 0).m_highest);
     uint64_t version = 0;
     const int exit =
-        Apply(order, folder, http.Platform(platform), report, version);
+        Apply(request, folder, http.Platform(platform), report, version);
     if (exit != kExitDone || !wait_arg.getValue()) {
       return exit;
     }
-    return WaitInForce(http, report, via, version);
+    return WaitUntilInForce(http, report, via, version);
   } catch (const std::runtime_error& error) {
-    return report.End(kExitRefused, "refused", error.what());
+    return report.Finish(kExitRefused, "refused", error.what());
   }
 }
 
--- a/src/cli/blocking_http.cc
+++ b/src/cli/blocking_http.cc
@@ -1,4 +1,4 @@
-/// @file blocking_http.cc Blocking fetches on an io_context of their own.
+/// @file blocking_http.cc Blocking fetches on a private io_context.
 
 #include "cli/blocking_http.h"
 
--- a/src/cli/blocking_http.h
+++ b/src/cli/blocking_http.h
@@ -1,5 +1,4 @@
-/// @file blocking_http.h HTTP for the command line, which has nothing else to
-/// do while it waits.
+/// @file blocking_http.h A blocking HTTP client for the command line.
 
 #ifndef SORRELPLANK_CLI_BLOCKING_HTTP_H_
 #define SORRELPLANK_CLI_BLOCKING_HTTP_H_
@@ -14,16 +13,17 @@
 
 namespace sorrelplank {
 
-/// Runs one fetch after the other.
+/// Runs one fetch at a time and waits for it, since the command line has
+/// nothing else to do meanwhile.
 class BlockingHttp {
  public:
   BlockingHttp();
   ~BlockingHttp();
 
   HttpResult Fetch(const HttpFetch& fetch);
-  /// GET of a path at an address.
+  /// Sends a GET request for a path to an address.
   HttpResult Get(VmAddress address, const std::string& path);
-  /// The platform at some addresses, call by call.
+  /// Blocking calls to the platform at some addresses.
   PlatformStore Platform(const std::vector<VmAddress>& addresses);
 
  private:
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -1,4 +1,4 @@
-/// @file check_command.cc sorrelplank check.
+/// @file check_command.cc Command sorrelplank check.
 
 #include <iostream>
 #include <nlohmann/json.hpp>
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -13,15 +13,18 @@
 
 namespace sorrelplank {
 
-/// Parses; the exit code where the command should end now.
+/// Parses the arguments. Returns an exit code if the command should end now,
+/// after --help, --version or a usage error.
 std::optional<int> ParseArguments(TCLAP::CmdLine& line,
                                   std::vector<std::string>& arguments);
 
-/// Parses "IP:PORT" arguments; false and a message where one is none.
+/// Parses "IP:PORT" arguments; prints a message and returns false if one is
+/// invalid.
 bool ParseAddresses(const std::vector<std::string>& texts,
                     std::vector<VmAddress>& addresses);
 
-/// True where tables and colours may be used.
+/// Whether standard output is a terminal, so that tables and colours may be
+/// used.
 bool IsTerminal();
 
 }  // namespace sorrelplank
--- a/src/cli/command_type.h
+++ b/src/cli/command_type.h
@@ -14,11 +14,11 @@
 inline constexpr int kExitRefused = 1;
 /// Wrong usage of the command line.
 inline constexpr int kExitUsage = 2;
-/// The platform or an entry VM is out of reach, or the outcome is unknown.
+/// The platform or an entry VM is unreachable, or the outcome is unknown.
 inline constexpr int kExitUnreachable = 3;
 
-/// A subcommand: takes its arguments, the name of the program and the
-/// subcommand first.
+/// A subcommand. The first of its arguments is the name of the program and the
+/// subcommand.
 struct Command {
   const char* m_name;
   const char* m_help;
--- a/src/cli/explain_log_command.cc
+++ b/src/cli/explain_log_command.cc
@@ -1,4 +1,4 @@
-/// @file explain_log_command.cc sorrelplank explain-log.
+/// @file explain_log_command.cc Command sorrelplank explain-log.
 
 #include <cstdio>
 #include <iostream>
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-/// What of the log is shown.
+/// Selects the log lines to show.
 struct LogFilter {
   std::string m_request;
   std::string m_content;
@@ -57,7 +57,7 @@
   std::printf("\n");
 }
 
-/// The texts of all files, or of standard input where none is named.
+/// The texts of all files, or of standard input if none is named.
 std::optional<std::string> ReadLogs(const std::vector<std::string>& files) {
   if (files.empty()) {
     return std::string(std::istreambuf_iterator<char>(std::cin), {});
@@ -78,22 +78,22 @@
 
 int RunExplainLog(std::vector<std::string> arguments) {
   TCLAP::CmdLine line(
-      "Tells a request's story, or what processes believed, from their log "
-      "lines, in one order despite differing clocks. Example: sorrelplank "
+      "Shows the log lines about a request, or about the state of processes, "
+      "in one order despite differing clocks. Example: sorrelplank "
       "explain-log --request 9c41d07be2a35f68 vm-1.log vm-2.log",
       ' ', SORRELPLANK_VERSION);
   TCLAP::ValueArg<std::string> request_arg(
       "", "request", "only this request id", false, "", "ID", line);
   TCLAP::ValueArg<std::string> content_arg(
-      "", "content", "only sends, refusals and beliefs on this content", false,
+      "", "content", "only sends, refusals and state of this content", false,
       "", "CONTENT", line);
   TCLAP::ValueArg<std::string> vm_arg("", "vm", "only this entry VM", false, "",
                                       "NAME", line);
-  TCLAP::SwitchArg changes_arg(
-      "", "changes", "only what changed the processes' beliefs", line);
+  TCLAP::SwitchArg changes_arg("", "changes",
+                               "only changes of the state of processes", line);
   TCLAP::SwitchArg json_arg("", "json", "print as JSON lines", line);
   TCLAP::UnlabeledMultiArg<std::string> files_arg(
-      "files", "log files; standard input where none is given", false, "FILE",
+      "files", "log files; standard input if none is given", false, "FILE",
       line);
   if (const auto exit = ParseArguments(line, arguments)) {
     return *exit;
--- a/src/cli/fleet_reader.cc
+++ b/src/cli/fleet_reader.cc
@@ -14,7 +14,7 @@
 
 json ReadJson(BlockingHttp& http, VmAddress address, const std::string& path) {
   const HttpResult result = http.Get(address, path);
-  if (result.m_end != FetchEnd::kAnswered) {
+  if (result.m_end != FetchOutcome::kAnswered) {
     return json();
   }
   json body = json::parse(result.m_response.m_body, nullptr, false);
@@ -45,14 +45,14 @@
 }
 
 std::vector<json> FleetReader::ReadAll(const std::string& path) {
-  std::vector<json> answers;
+  std::vector<json> responses;
   for (const VmAddress& address : m_addresses) {
-    json answer = ReadJson(m_http, address, path);
-    if (!answer.is_null()) {
-      answers.push_back(std::move(answer));
+    json response = ReadJson(m_http, address, path);
+    if (!response.is_null()) {
+      responses.push_back(std::move(response));
     }
   }
-  return answers;
+  return responses;
 }
 
 std::string MakeQuery(
--- a/src/cli/fleet_reader.h
+++ b/src/cli/fleet_reader.h
@@ -12,16 +12,16 @@
 
 namespace sorrelplank {
 
-/// Finds the other entry VMs through the first that answers. The operator
-/// port is taken to be the same on all of them.
+/// Finds the other entry VMs through the first that responds. Assumes that the
+/// operator port is the same on all of them.
 class FleetReader {
  public:
   FleetReader(BlockingHttp& http, const std::vector<VmAddress>& via);
 
-  /// Operator addresses; empty where nobody answers.
+  /// Operator addresses; empty if no entry VM responded.
   const std::vector<VmAddress>& Addresses() const { return m_addresses; }
 
-  /// The JSON that every reachable entry VM answers at a path.
+  /// The JSON responses of all reachable entry VMs for a path.
   std::vector<nlohmann::json> ReadAll(const std::string& path);
 
  private:
@@ -29,7 +29,7 @@
   std::vector<VmAddress> m_addresses;
 };
 
-/// A query of "name=value" pairs; empty values are left out.
+/// Builds a URL query of "name=value" pairs; skips empty values.
 std::string MakeQuery(
     const std::vector<std::pair<std::string, std::string>>& values);
 
--- a/src/cli/log_merge.cc
+++ b/src/cli/log_merge.cc
@@ -1,4 +1,4 @@
-/// @file log_merge.cc Clock differences from changes that all have seen.
+/// @file log_merge.cc Clock differences from changes that all processes saw.
 
 #include <algorithm>
 #include <map>
@@ -12,14 +12,14 @@
 namespace {
 
 using nlohmann::json;
-using TimesOfVm = std::map<std::string, microseconds>;
+using TimeByVm = std::map<std::string, microseconds>;
 
-/// Fields that name a change in the store the same in every process.
+/// Fields that identify a change in the store equally in all processes.
 constexpr const char* kChangeFields[] = {"server", "key", "version",
                                          "failure_domain", "leaving"};
 
-/// The name of a change, or nothing for events of one process alone.
-std::string ChangeOf(const LogEvent& event) {
+/// Key that identifies a change, or empty for events of a single process.
+std::string ChangeKey(const LogEvent& event) {
   const bool is_shared = event.m_event.starts_with("server") ||
                          event.m_event.starts_with("evacuation") ||
                          event.m_event.starts_with("vm") ||
@@ -37,11 +37,11 @@
 }
 
 /// When each process first saw each change.
-std::map<std::string, TimesOfVm> SharedChanges(
+std::map<std::string, TimeByVm> SharedChanges(
     const std::vector<LogEvent>& events) {
-  std::map<std::string, TimesOfVm> changes;
+  std::map<std::string, TimeByVm> changes;
   for (const LogEvent& event : events) {
-    const std::string change = ChangeOf(event);
+    const std::string change = ChangeKey(event);
     if (!change.empty()) {
       changes[change].try_emplace(event.m_vm, event.m_time);
     }
@@ -67,8 +67,9 @@
   return *middle;
 }
 
-/// How far each process's clock is ahead of the reference's.
-TimesOfVm ClockDifferences(const std::vector<LogEvent>& events) {
+/// How far the clock of each process is ahead of the reference clock, which is
+/// that of the process with the most lines.
+TimeByVm ClockDifferences(const std::vector<LogEvent>& events) {
   const std::string reference = VmWithMostLines(events);
   std::map<std::string, std::vector<microseconds>> differences;
   for (const auto& [change, times] : SharedChanges(events)) {
@@ -80,7 +81,7 @@
       differences[vm].push_back(time - at_reference->second);
     }
   }
-  TimesOfVm medians;
+  TimeByVm medians;
   for (auto& [vm, values] : differences) {
     medians[vm] = Median(std::move(values));
   }
@@ -117,7 +118,7 @@
 }
 
 std::vector<LogEvent> MergeLogs(std::vector<LogEvent> events) {
-  const TimesOfVm differences = ClockDifferences(events);
+  const TimeByVm differences = ClockDifferences(events);
   for (LogEvent& event : events) {
     const auto difference = differences.find(event.m_vm);
     if (difference != differences.end()) {
--- a/src/cli/log_merge_func.h
+++ b/src/cli/log_merge_func.h
@@ -1,5 +1,4 @@
-/// @file log_merge_func.h Brings the log lines of many processes into one
-/// order.
+/// @file log_merge_func.h Merges the logs of many processes into one order.
 
 #ifndef SORRELPLANK_CLI_LOG_MERGE_FUNC_H_
 #define SORRELPLANK_CLI_LOG_MERGE_FUNC_H_
@@ -12,10 +11,10 @@
 
 namespace sorrelplank {
 
-/// One line of a log.
+/// A log line.
 struct LogEvent {
-  /// By the writer's wall clock; after MergeLogs by the clock of the process
-  /// with most lines.
+  /// By the wall clock of the writer; after MergeLogs() by the clock of the
+  /// process with the most lines.
   microseconds m_time{};
   std::string m_vm;
   std::string m_event;
@@ -23,13 +22,13 @@
   nlohmann::json m_fields;
 };
 
-/// Reads a line; what stands before the JSON object is skipped. Nothing where
-/// the line holds no event.
+/// Parses log lines. Skips any text before the JSON object of a line, and lines
+/// without an event.
 std::vector<LogEvent> ParseLogLines(const std::string& text);
 
-/// Sorts by time, with differing clocks corrected.
+/// Sorts by time, corrected for clock differences.
 ///
-/// All processes see a change in the store at about the same moment, so the
+/// All processes see a change in the store at about the same time, so the
 /// median difference of their times for the same changes is the difference of
 /// their clocks. Events of one process keep their order.
 std::vector<LogEvent> MergeLogs(std::vector<LogEvent> events);
--- a/src/cli/read_commands.cc
+++ b/src/cli/read_commands.cc
@@ -1,4 +1,4 @@
-/// @file read_commands.cc sorrelplank status, explain and timeline.
+/// @file read_commands.cc Commands sorrelplank status, explain and timeline.
 
 #include <algorithm>
 #include <ctime>
@@ -18,13 +18,13 @@
 
 using nlohmann::json;
 
-/// Options that all commands share which read entry VMs.
+/// Options shared by all commands that read from entry VMs.
 struct ReadArguments {
   explicit ReadArguments(TCLAP::CmdLine& line)
       : m_via("",
               "via",
               "operator address of an entry VM; the first that "
-              "answers is used",
+              "responds is used",
               true,
               "IP:PORT",
               line),
@@ -34,7 +34,7 @@
   TCLAP::SwitchArg m_json;
 };
 
-/// Parses; the exit code where the command should end now.
+/// Parses the arguments. Returns an exit code if the command should end now.
 std::optional<int> ParseWithVia(TCLAP::CmdLine& line,
                                 std::vector<std::string>& arguments,
                                 ReadArguments& options,
@@ -48,19 +48,19 @@
   return std::nullopt;
 }
 
-int EndUnreachable() {
+int ReportUnreachable() {
   std::cerr << "sorrelplank: no entry VM answers at the --via addresses\n";
   return kExitUnreachable;
 }
 
-/// Slots of a place and service over all its entry VMs.
-struct Headroom {
+/// Slots of a service at a place, summed over the entry VMs of the place.
+struct SlotTotals {
   uint64_t m_held = 0;
   uint64_t m_free = 0;
 };
 
 void PrintStatus(const std::vector<json>& fleet) {
-  std::map<std::pair<std::string, std::string>, Headroom> headroom;
+  std::map<std::pair<std::string, std::string>, SlotTotals> slot_totals;
   std::cout << std::left << std::setw(20) << "ENTRY VM" << std::setw(16)
             << "PLACE" << std::setw(9) << "VERSION" << std::setw(10) << "STATE"
             << std::setw(7) << "OPEN"
@@ -76,7 +76,7 @@
               << std::setw(7) << vm["open_calls"].get<uint64_t>()
               << vm["queued_calls"].get<uint64_t>() << "\n";
     for (const json& slots : vm["slots"]) {
-      Headroom& sum = headroom[{vm["place"], slots["service"]}];
+      SlotTotals& sum = slot_totals[{vm["place"], slots["service"]}];
       sum.m_held += slots["held"].get<uint64_t>();
       sum.m_free += slots["free"].get<uint64_t>();
     }
@@ -85,7 +85,7 @@
             << std::setw(16) << "PLACE" << std::setw(24) << "SERVICE"
             << std::setw(7) << "SLOTS"
             << "HEADROOM\n";
-  for (const auto& [key, sum] : headroom) {
+  for (const auto& [key, sum] : slot_totals) {
     const uint64_t percent =
         sum.m_held == 0 ? 0 : 100 * sum.m_free / sum.m_held;
     std::cout << std::setw(16) << key.first << std::setw(24) << key.second
@@ -135,7 +135,7 @@
   FleetReader reader(http, via);
   const std::vector<json> fleet = reader.ReadAll("/v1/status");
   if (fleet.empty()) {
-    return EndUnreachable();
+    return ReportUnreachable();
   }
   if (options.m_json.getValue()) {
     std::cout << json(fleet).dump(2) << "\n";
@@ -147,8 +147,8 @@
 
 int RunExplain(std::vector<std::string> arguments) {
   TCLAP::CmdLine line(
-      "Shows what a caller would be answered now, and which rule decides.", ' ',
-      SORRELPLANK_VERSION);
+      "Shows the response that a caller would get now, and which rule decides.",
+      ' ', SORRELPLANK_VERSION);
   ReadArguments options(line);
   TCLAP::ValueArg<std::string> client_arg("", "client", "address of the caller",
                                           true, "", "IP", line);
@@ -164,7 +164,7 @@
         http.Get(address, "/v1/explain" +
                               MakeQuery({{"client", client_arg.getValue()},
                                          {"service", service_arg.getValue()}}));
-    if (result.m_end != FetchEnd::kAnswered) {
+    if (result.m_end != FetchOutcome::kAnswered) {
       continue;
     }
     const json body = json::parse(result.m_response.m_body, nullptr, false);
@@ -185,7 +185,7 @@
     }
     return kExitDone;
   }
-  return EndUnreachable();
+  return ReportUnreachable();
 }
 
 int RunTimeline(std::vector<std::string> arguments) {
@@ -207,7 +207,7 @@
   BlockingHttp http;
   FleetReader reader(http, via);
   if (reader.Addresses().empty()) {
-    return EndUnreachable();
+    return ReportUnreachable();
   }
   std::vector<json> events;
   const std::string query = MakeQuery({{"service", service_arg.getValue()},
--- a/src/cli/serve_command.cc
+++ b/src/cli/serve_command.cc
@@ -1,4 +1,4 @@
-/// @file serve_command.cc sorrelplank serve.
+/// @file serve_command.cc Command sorrelplank serve.
 
 #include <glog/logging.h>
 
@@ -29,8 +29,8 @@
     EntryProcess process(settings);
     process.Run();
     google::FlushLogFiles(google::INFO);
-    // Nothing is in flight any more. Threads of libraries may still wait for
-    // peers; there is no state on disk, so none of them is worth waiting for.
+    // No request is in flight any more. Library threads may still wait for
+    // peers; as there is no state on disk, exit without waiting for them.
     std::_Exit(kExitDone);
   } catch (const std::exception& error) {
     std::cerr << "sorrelplank serve: " << error.what() << "\n";
--- a/src/config/config_build.cc
+++ b/src/config/config_build.cc
@@ -1,4 +1,4 @@
-/// @file config_build.cc From merged JSON to a snapshot.
+/// @file config_build.cc Builds a snapshot from merged JSON.
 
 #include <algorithm>
 #include <map>
@@ -16,25 +16,25 @@
 
 using nlohmann::json;
 
-/// Entries of a section in order of name; empty where it is absent.
+/// Entries of a section, sorted by name; empty if the section is absent.
 const json& SectionOf(const json& merged, const char* section) {
   static const json none = json::object();
   const auto it = merged.find(section);
   return it == merged.end() ? none : *it;
 }
 
-/// A number or flag of an entry, or the table's default.
+/// A number or flag of an entry, or its default from the table.
 template <typename Value>
 Value Read(const json& entry, const char* section, const char* key) {
   if (entry.contains(key)) {
     return entry[key].get<Value>();
   }
   const FieldRow* row = FindField(kConfigTable, section, key);
-  Invariant(row != nullptr, "each field that is read stands in the table");
+  Invariant(row != nullptr, "each field that is read is in the table");
   return static_cast<Value>(row->m_default);
 }
 
-/// Names of a section to their indices.
+/// Maps the names of a section to ids, numbered in order of name.
 template <typename Id>
 std::map<std::string, Id> IndexOf(const json& section) {
   std::map<std::string, Id> ids;
@@ -45,25 +45,25 @@
   return ids;
 }
 
-/// Splits a cap in proportion to weights; the parts sum to exactly the cap.
+/// Splits a cap in proportion to weights; the shares sum to exactly the cap.
 std::vector<uint32_t> SplitCap(uint64_t cap,
                                const std::vector<uint32_t>& weights) {
   const uint64_t total =
       std::accumulate(weights.begin(), weights.end(), uint64_t{0});
-  std::vector<uint32_t> parts(weights.size(), 0);
+  std::vector<uint32_t> shares(weights.size(), 0);
   if (total == 0) {
-    return parts;
+    return shares;
   }
-  uint64_t given = 0;
+  uint64_t assigned = 0;
   for (size_t index = 0; index < weights.size(); ++index) {
-    parts[index] = static_cast<uint32_t>(cap * weights[index] / total);
-    given += parts[index];
+    shares[index] = static_cast<uint32_t>(cap * weights[index] / total);
+    assigned += shares[index];
   }
-  for (size_t index = 0; given < cap; index = (index + 1) % parts.size()) {
-    ++parts[index];
-    ++given;
+  for (size_t index = 0; assigned < cap; index = (index + 1) % shares.size()) {
+    ++shares[index];
+    ++assigned;
   }
-  return parts;
+  return shares;
 }
 
 /// Builds one snapshot; each method fills one table.
@@ -210,27 +210,28 @@
     m_snapshot.m_client_blocks = ClientBlockMap(std::move(blocks));
   }
 
-  /// Requests that a backend server can run in a thousand seconds.
-  uint32_t RateOf(const BackendServer& backend) const {
+  /// Requests that a backend server can run in 1000 s, by its service's
+  /// expected run time.
+  uint32_t RequestsPer1000Seconds(const BackendServer& backend) const {
     const Duration run = m_snapshot.Get(backend.m_service).m_expected_run;
     return static_cast<uint32_t>(backend.m_slots * seconds(1000) / run);
   }
 
-  /// Backend servers of which a condition holds, and their rates. Caps on
-  /// requests a second are split by rate: by slots, a slow service would hold
-  /// a part of the cap that it can never use.
+  /// Backend servers that match a condition, and their rates. Caps on requests
+  /// per second are split by rate: if split by slots, a slow service would hold
+  /// a share of the cap that it can never use.
   template <typename Condition>
-  std::vector<BackendServer*> SelectByRate(Condition condition,
-                                           std::vector<uint32_t>& rates) {
+  std::vector<BackendServer*> SelectWithRates(Condition condition,
+                                              std::vector<uint32_t>& rates) {
     std::vector<uint32_t> slots;
     auto selected = Select(condition, slots);
     for (const BackendServer* backend : selected) {
-      rates.push_back(RateOf(*backend));
+      rates.push_back(RequestsPer1000Seconds(*backend));
     }
     return selected;
   }
 
-  /// Backend servers of which a condition holds, and their slots.
+  /// Backend servers that match a condition, and their slots.
   template <typename Condition>
   std::vector<BackendServer*> Select(Condition condition,
                                      std::vector<uint32_t>& slots) {
@@ -244,8 +245,8 @@
     return selected;
   }
 
-  /// The place's cap is split over its servers once and for all, so that no
-  /// two entry VMs have to agree on who may use how much of it.
+  /// Splits the cap of each place over its backend servers statically, so that
+  /// entry VMs need not agree on how much of it each may use.
   void ApplyRequestCaps() {
     for (size_t index = 0; index < m_snapshot.m_places.size(); ++index) {
       const PlaceId place(static_cast<uint16_t>(index));
@@ -257,10 +258,11 @@
           cap >= std::accumulate(slots.begin(), slots.end(), uint64_t{0})) {
         continue;
       }
-      const std::vector<uint32_t> parts = SplitCap(cap, slots);
-      for (size_t part = 0; part < parts.size(); ++part) {
-        backends[part]->m_slots =
-            std::min(backends[part]->m_slots, parts[part]);
+      const std::vector<uint32_t> shares = SplitCap(cap, slots);
+      for (size_t backend_index = 0; backend_index < shares.size();
+           ++backend_index) {
+        backends[backend_index]->m_slots =
+            std::min(backends[backend_index]->m_slots, shares[backend_index]);
       }
     }
   }
@@ -269,12 +271,13 @@
     for (size_t index = 0; index < m_snapshot.m_places.size(); ++index) {
       const PlaceId place(static_cast<uint16_t>(index));
       std::vector<uint32_t> rates;
-      const auto backends = SelectByRate(
+      const auto backends = SelectWithRates(
           [&](const BackendServer& b) { return b.m_place == place; }, rates);
-      const std::vector<uint32_t> parts =
+      const std::vector<uint32_t> shares =
           SplitCap(m_snapshot.Get(place).m_shift_cap, rates);
-      for (size_t part = 0; part < parts.size(); ++part) {
-        backends[part]->m_shift_share = parts[part];
+      for (size_t backend_index = 0; backend_index < shares.size();
+           ++backend_index) {
+        backends[backend_index]->m_shift_share = shares[backend_index];
       }
     }
   }
@@ -288,14 +291,16 @@
 
   void SplitLink(RegionId from, RegionId to, uint32_t cap) {
     std::vector<uint32_t> rates;
-    const auto backends = SelectByRate(
+    const auto backends = SelectWithRates(
         [&](const BackendServer& b) {
           return m_snapshot.Get(b.m_place).m_region == to;
         },
         rates);
-    const std::vector<uint32_t> parts = SplitCap(cap, rates);
-    for (size_t part = 0; part < parts.size(); ++part) {
-      backends[part]->m_link_shares[from.Get()] = parts[part];
+    const std::vector<uint32_t> shares = SplitCap(cap, rates);
+    for (size_t backend_index = 0; backend_index < shares.size();
+         ++backend_index) {
+      backends[backend_index]->m_link_shares[from.Get()] =
+          shares[backend_index];
     }
   }
 
--- a/src/config/config_file_type.h
+++ b/src/config/config_file_type.h
@@ -8,7 +8,7 @@
 
 namespace sorrelplank {
 
-/// One file; its text is JSON.
+/// A configuration file; its text is JSON.
 struct ConfigFile {
   std::string m_name;
   std::string m_text;
--- a/src/config/config_parse.cc
+++ b/src/config/config_parse.cc
@@ -19,7 +19,7 @@
 constexpr std::string_view kPolicy = "policy";
 constexpr std::string_view kClientBlocks = "client_blocks";
 
-/// Which file last wrote an entry, by "/section/name".
+/// File that last set an entry, by "/section/name".
 using Origins = std::map<std::string, std::string>;
 
 bool IsSection(const std::string& key) {
@@ -58,8 +58,9 @@
     uint32_t address = 0;
     uint8_t prefix = 0;
     if (!ParseBlock(block, address, prefix)) {
-      faults.push_back({file, path, "", "is no client block",
-                        "A.B.C.D/N with N 0 to 32 and no bits behind it"});
+      faults.push_back(
+          {file, path, "", "is no client block",
+           "A.B.C.D/N with N 0 to 32 and no bits set after the prefix"});
     }
     if (!place.is_string()) {
       faults.push_back(
@@ -68,7 +69,7 @@
   }
 }
 
-/// Checks one file by itself, and notes which entries it writes.
+/// Checks a single file, and records which entries it sets.
 void CheckFile(const json& root,
                const std::string& file,
                Origins& origins,
@@ -118,7 +119,8 @@
   }
 }
 
-/// Checks the merged whole: required fields, names that refer to others.
+/// Checks the merged configuration: required fields, references between
+/// entries, and conflicts such as equal addresses.
 class MergedCheck {
  public:
   MergedCheck(const json& merged, const Origins& origins, Faults& faults)
@@ -180,8 +182,8 @@
     }
   }
 
-  /// Messages between entry VMs carry hashes of names; two equal ones would
-  /// mix up two entries.
+  /// Messages between entry VMs carry hashes of names; with equal hashes, two
+  /// entries would be confused.
   void CheckHashes(const std::string& section, const json& content) {
     std::map<NameHash, std::string> seen;
     for (const auto& [name, entry] : content.items()) {
--- a/src/config/config_parse_func.h
+++ b/src/config/config_parse_func.h
@@ -1,4 +1,5 @@
-/// @file config_parse_func.h From files to a checked snapshot.
+/// @file config_parse_func.h Parsing of configuration files into a checked
+/// snapshot.
 
 #ifndef SORRELPLANK_CONFIG_CONFIG_PARSE_FUNC_H_
 #define SORRELPLANK_CONFIG_CONFIG_PARSE_FUNC_H_
@@ -12,14 +13,15 @@
 
 namespace sorrelplank {
 
-/// Merges and checks the files. All faults at once, or the snapshot.
+/// Merges and checks the files. Returns the snapshot, or all faults found.
 std::variant<Snapshot, Faults> ParseConfig(const ConfigFiles& files,
                                            ConfigVersion version);
 
 /// Builds the snapshot from merged and checked JSON.
 Snapshot BuildSnapshot(const nlohmann::json& merged, ConfigVersion version);
 
-/// Reads "A.B.C.D/N"; false if it is no block or has bits behind the prefix.
+/// Parses "A.B.C.D/N"; returns false if the text is not a valid block or has
+/// bits set after the prefix.
 bool ParseBlock(const std::string& text, uint32_t& address, uint8_t& prefix);
 
 }  // namespace sorrelplank
--- a/src/config/fault.cc
+++ b/src/config/fault.cc
@@ -1,4 +1,4 @@
-/// @file fault.cc Wording of faults.
+/// @file fault.cc Formatting of faults.
 
 #include "config/fault_type.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr size_t kLongestValue = 60;
+constexpr size_t kMaxValueLength = 60;
 
 }  // namespace
 
@@ -16,8 +16,8 @@
                      fault.m_problem;
   std::string notes;
   if (!fault.m_value.empty()) {
-    const bool is_long = fault.m_value.size() > kLongestValue;
-    notes += "value " + fault.m_value.substr(0, kLongestValue) +
+    const bool is_long = fault.m_value.size() > kMaxValueLength;
+    notes += "value " + fault.m_value.substr(0, kMaxValueLength) +
              (is_long ? "..." : "");
   }
   if (!fault.m_allowed.empty()) {
--- a/src/config/fault_type.h
+++ b/src/config/fault_type.h
@@ -1,4 +1,4 @@
-/// @file fault_type.h What is wrong in a file that a person wrote.
+/// @file fault_type.h Faults in configuration and settings files.
 
 #ifndef SORRELPLANK_CONFIG_FAULT_TYPE_H_
 #define SORRELPLANK_CONFIG_FAULT_TYPE_H_
@@ -8,15 +8,15 @@
 
 namespace sorrelplank {
 
-/// One fault. Printed on one line.
+/// A fault in a file. Formatted as one line.
 struct Fault {
   std::string m_file;
-  /// Such as /services/hours-lookup/deadline_ms.
+  /// Path in the file, such as /services/hours-lookup/deadline_ms.
   std::string m_path;
-  /// The value as written; empty where there is none.
+  /// The rejected value as written; empty if there is none.
   std::string m_value;
   std::string m_problem;
-  /// What would be accepted.
+  /// Description of the accepted values.
   std::string m_allowed;
 };
 using Faults = std::vector<Fault>;
--- a/src/config/field_check.cc
+++ b/src/config/field_check.cc
@@ -18,7 +18,7 @@
 
 using nlohmann::json;
 
-constexpr size_t kLongestName = 64;
+constexpr size_t kMaxNameLength = 64;
 
 std::string RangeText(const FieldRow& row) {
   std::ostringstream text;
@@ -32,7 +32,7 @@
 }
 
 bool IsName(const std::string& text) {
-  if (text.empty() || text.size() > kLongestName) {
+  if (text.empty() || text.size() > kMaxNameLength) {
     return false;
   }
   return std::all_of(text.begin(), text.end(), [](char c) {
@@ -172,8 +172,9 @@
                const std::string& file,
                Faults& faults) {
   std::vector<std::set<std::string>> open_objects;
-  std::vector<std::string> twice;
-  const auto watch_keys = [&](int, json::parse_event_t event, json& parsed) {
+  std::vector<std::string> duplicate_keys;
+  const auto find_duplicates = [&](int, json::parse_event_t event,
+                                   json& parsed) {
     if (event == json::parse_event_t::object_start) {
       open_objects.emplace_back();
     } else if (event == json::parse_event_t::object_end) {
@@ -181,14 +182,14 @@
     } else if (event == json::parse_event_t::key) {
       const auto key = parsed.get<std::string>();
       if (!open_objects.back().insert(key).second) {
-        twice.push_back(key);
+        duplicate_keys.push_back(key);
       }
     }
     return true;
   };
   try {
-    json parsed = json::parse(text, watch_keys);
-    for (const std::string& key : twice) {
+    json parsed = json::parse(text, find_duplicates);
+    for (const std::string& key : duplicate_keys) {
       faults.push_back({file, "", "\"" + key + "\"",
                         "key stands twice in one object", "each key once"});
     }
--- a/src/config/field_check.h
+++ b/src/config/field_check.h
@@ -12,8 +12,9 @@
 
 namespace sorrelplank {
 
-/// Checks every field of an object that stands at a path of a file: unknown
-/// keys, wrong types, values out of range. Missing keys are not looked for.
+/// Checks every field of the object at a path of a file. Reports unknown keys,
+/// wrong types and values out of range, but not missing keys; see
+/// CheckRequired().
 void CheckFields(const nlohmann::json& object,
                  std::span<const FieldRow> table,
                  std::string_view section,
@@ -21,7 +22,7 @@
                  const std::string& path,
                  Faults& faults);
 
-/// Adds a fault for every required field that an object lacks.
+/// Adds a fault for every required field that is missing from an object.
 void CheckRequired(const nlohmann::json& object,
                    std::span<const FieldRow> table,
                    std::string_view section,
@@ -29,18 +30,18 @@
                    const std::string& path,
                    Faults& faults);
 
-/// Parses a JSON text; a key that stands twice in one object is a fault, since
-/// one of the two would silently win.
+/// Parses a JSON text. A duplicate key in an object is a fault, since the
+/// parser would silently keep only one of its values.
 nlohmann::json ParseJson(const std::string& text,
                          const std::string& file,
                          Faults& faults);
 
-/// The row of a key, or nullptr.
+/// The row of a key, or nullptr if the table has none.
 const FieldRow* FindField(std::span<const FieldRow> table,
                           std::string_view section,
                           std::string_view key);
 
-/// Splits "IP:PORT"; false if it is none.
+/// Parses "IP:PORT"; returns false if the text is not a valid address.
 bool ParseAddress(const std::string& text, uint32_t& ip, uint16_t& port);
 
 }  // namespace sorrelplank
--- a/src/config/field_type.h
+++ b/src/config/field_type.h
@@ -8,7 +8,7 @@
 
 namespace sorrelplank {
 
-/// What a field's value has to be.
+/// Type of a field's value.
 enum class FieldKind : uint8_t {
   kBool,
   kInteger,      ///< Whole number in a range.
--- a/src/config/head.cc
+++ b/src/config/head.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kFormat = 1;
-constexpr size_t kLongestHistory = 64;
+constexpr size_t kMaxHistoryEntries = 64;
 
 }  // namespace
 
@@ -69,7 +69,7 @@
     head.m_files.push_back({file.m_name, DigestOf(file.m_text)});
   }
   head.m_history.push_back(head.m_change_id);
-  const size_t kept = std::min(history.size(), kLongestHistory - 1);
+  const size_t kept = std::min(history.size(), kMaxHistoryEntries - 1);
   head.m_history.insert(head.m_history.end(), history.begin(),
                         history.begin() + static_cast<ptrdiff_t>(kept));
   return head;
--- a/src/config/head_type.h
+++ b/src/config/head_type.h
@@ -1,4 +1,4 @@
-/// @file head_type.h The record that says which configuration is accepted.
+/// @file head_type.h The head record, which names the accepted configuration.
 
 #ifndef SORRELPLANK_CONFIG_HEAD_TYPE_H_
 #define SORRELPLANK_CONFIG_HEAD_TYPE_H_
@@ -12,7 +12,7 @@
 
 namespace sorrelplank {
 
-/// One file of an accepted configuration, by the digest of its text.
+/// A file of an accepted configuration, identified by the digest of its text.
 struct HeadFile {
   std::string m_name;
   std::string m_digest;
@@ -20,30 +20,31 @@
   auto operator<=>(const HeadFile&) const = default;
 };
 
-/// Replaced as a whole by compare-and-swap, after every chunk that it names
-/// was written; so no reader ever sees half a configuration.
+/// The head record. Replaced by compare-and-swap only after every chunk that it
+/// names has been written, so no reader ever sees an incomplete configuration.
 struct Head {
   ConfigVersion m_version;
-  /// Chosen by the operator's command; tells its own write from another's.
+  /// Chosen by the operator's command, which recognises its own write by it.
   std::string m_change_id;
   std::vector<HeadFile> m_files;
-  /// Change ids of this and the versions before it, newest first. With them a
-  /// command whose answer was lost finds its write even after others' writes.
+  /// Change ids of this version and the versions before it, newest first. A
+  /// command whose response was lost finds its write here, even after later
+  /// writes by others.
   std::vector<std::string> m_history;
 
-  /// True where the change is part of this configuration.
+  /// Whether the change is part of this configuration.
   bool Contains(const std::string& change_id) const;
 };
 
-/// Digest of a chunk's text: XXH3, 128 bits, in hex. Guards against damage
-/// and mix-ups; who may write to the platform is the platform's to decide.
+/// Digest of a chunk's text: XXH3, 128 bits, in hex. Detects corruption and
+/// mix-ups, but not tampering: the platform controls who may write to it.
 std::string DigestOf(const std::string& text);
 
 std::string FormatHead(const Head& head);
-/// Nothing where the text is no head record.
+/// Returns nothing if the text is not a valid head record.
 std::optional<Head> ParseHead(const std::string& text);
 
-/// The head of some files, on top of a history.
+/// Builds the head of some files; adds the change to the history.
 Head MakeHead(const ConfigFiles& files,
               ConfigVersion version,
               std::string change_id,
--- a/src/config/key_value_type.h
+++ b/src/config/key_value_type.h
@@ -1,4 +1,4 @@
-/// @file key_value_type.h The key-value service as publishing uses it.
+/// @file key_value_type.h Calls to the platform's key-value service.
 
 #ifndef SORRELPLANK_CONFIG_KEY_VALUE_TYPE_H_
 #define SORRELPLANK_CONFIG_KEY_VALUE_TYPE_H_
@@ -10,38 +10,38 @@
 
 namespace sorrelplank {
 
-/// How a call to the platform ended.
-enum class PlatformEnd : uint8_t {
-  kDone,         ///< Read, or written.
+/// Outcome of a call to the platform.
+enum class PlatformOutcome : uint8_t {
+  kDone,         ///< The value was read or written.
   kMissing,      ///< No such key.
   kConflict,     ///< The compare-and-swap's condition did not hold.
   kUnchanged,    ///< A watch ended without a change.
-  kUnavailable,  ///< Certainly nothing was written.
-  kUnknown,      ///< A write may have taken effect; its answer was lost.
+  kUnavailable,  ///< Failed; certainly nothing was written.
+  kUnknown,      ///< A write may have taken effect; its response was lost.
 };
 
-/// Outcome of a call.
+/// Result of a call.
 struct PlatformResult {
-  PlatformEnd m_end = PlatformEnd::kUnavailable;
+  PlatformOutcome m_end = PlatformOutcome::kUnavailable;
   std::string m_value;
-  /// Tells this state of the key from any other; opaque.
+  /// Opaque tag of the key's current state, for compare-and-swap.
   std::string m_tag;
 };
 
 /// Condition of a write.
 struct PutCondition {
-  /// Write only over the value with this tag; absent: only where there is no
-  /// value.
+  /// Write only if the stored value has this tag; if absent, only if the key
+  /// has no value.
   std::optional<std::string> m_tag;
 };
 
-/// Keys that we use.
+/// Keys in the key-value service.
 inline constexpr const char* kHeadKey = "sorrelplank/head";
 inline constexpr const char* kChunkPrefix = "sorrelplank/chunk/";
-/// A JSON list of the entry VMs that run, for first contact.
+/// A JSON list of the running entry VMs, for bootstrapping.
 inline constexpr const char* kVmListKey = "sorrelplank/vms";
-/// The platform's limit on a value.
-inline constexpr size_t kMostValueBytes = 1U << 20U;
+/// The platform's limit on the size of a value.
+inline constexpr size_t kMaxValueBytes = 1U << 20U;
 
 }  // namespace sorrelplank
 
--- a/src/config/publish.cc
+++ b/src/config/publish.cc
@@ -1,4 +1,4 @@
-/// @file publish.cc Three-way merge by file, then compare-and-swap.
+/// @file publish.cc Three-way merge by file, then compare-and-swap of the head.
 
 #include <algorithm>
 #include <map>
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr int kMostRaces = 8;
-constexpr int kMostHeadWrites = 4;
+constexpr int kMaxRaces = 8;
+constexpr int kMaxHeadWriteAttempts = 4;
 
-/// Digest of a file in a head; empty where it has none.
+/// Digest of a file in a head; empty if the head does not name the file.
 std::string DigestIn(const std::vector<HeadFile>& files,
                      const std::string& name) {
   const auto it =
@@ -24,7 +24,7 @@
   return it == files.end() ? "" : it->m_digest;
 }
 
-/// The head record now in the platform.
+/// The head record that the platform stores now.
 struct CurrentHead {
   Head m_head;
   std::optional<std::string> m_tag;
@@ -33,10 +33,10 @@
 std::variant<CurrentHead, PublishUnavailable> ReadHead(
     const PlatformStore& store) {
   const PlatformResult result = store.m_get(kHeadKey);
-  if (result.m_end == PlatformEnd::kMissing) {
+  if (result.m_end == PlatformOutcome::kMissing) {
     return CurrentHead{};
   }
-  if (result.m_end != PlatformEnd::kDone) {
+  if (result.m_end != PlatformOutcome::kDone) {
     return PublishUnavailable{"the platform did not answer"};
   }
   auto head = ParseHead(result.m_value);
@@ -46,13 +46,13 @@
   return CurrentHead{std::move(*head), result.m_tag};
 }
 
-/// Decides file by file between the folder, the base and the head.
-class Merge {
+/// Merges the folder and the current head file by file, relative to the base.
+class ThreeWayMerge {
  public:
-  Merge(const ConfigFiles& folder,
-        const std::optional<Head>& base,
-        const Head& current,
-        const PlatformStore& store)
+  ThreeWayMerge(const ConfigFiles& folder,
+                const std::optional<Head>& base,
+                const Head& current,
+                const PlatformStore& store)
       : m_folder(folder), m_base(base), m_current(current), m_store(store) {}
 
   PlanResult Run() {
@@ -64,7 +64,7 @@
       names.insert(file.m_name);
     }
     for (const std::string& name : names) {
-      if (!Decide(name)) {
+      if (!MergeFile(name)) {
         return PublishUnavailable{"chunk of " + name +
                                   " is missing or damaged in the platform"};
       }
@@ -74,14 +74,14 @@
                              m_base ? m_base->m_version : ConfigVersion(),
                              m_current.m_version};
     }
-    m_plan.m_on_top_of = m_current.m_version;
+    m_plan.m_parent_version = m_current.m_version;
     m_plan.m_history = m_current.m_history;
     return std::move(m_plan);
   }
 
  private:
-  /// False where a chunk that is needed cannot be read.
-  bool Decide(const std::string& name) {
+  /// Returns false if a chunk that is needed cannot be read.
+  bool MergeFile(const std::string& name) {
     const auto ours = std::find_if(
         m_folder.begin(), m_folder.end(),
         [&](const ConfigFile& file) { return file.m_name == name; });
@@ -95,7 +95,7 @@
       return true;
     }
     if (our_digest == base_digest) {
-      // We left it as it was, somebody else changed it: theirs stays.
+      // Unchanged here and changed by someone else: keep their version.
       m_plan.m_rebased.push_back(name);
       return head_digest.empty() || KeepTheirs(name, head_digest);
     }
@@ -103,7 +103,7 @@
       m_conflicts.push_back(name);
       return true;
     }
-    NoteChange(name, our_digest, head_digest);
+    AddChange(name, our_digest, head_digest);
     if (ours != m_folder.end()) {
       m_plan.m_files.push_back(*ours);
     }
@@ -112,7 +112,7 @@
 
   bool KeepTheirs(const std::string& name, const std::string& digest) {
     const PlatformResult chunk = m_store.m_get(kChunkPrefix + digest);
-    if (chunk.m_end != PlatformEnd::kDone ||
+    if (chunk.m_end != PlatformOutcome::kDone ||
         DigestOf(chunk.m_value) != digest) {
       return false;
     }
@@ -120,9 +120,9 @@
     return true;
   }
 
-  void NoteChange(const std::string& name,
-                  const std::string& ours,
-                  const std::string& head) {
+  void AddChange(const std::string& name,
+                 const std::string& ours,
+                 const std::string& head) {
     const FileChange change = ours.empty()   ? FileChange::kRemoved
                               : head.empty() ? FileChange::kAdded
                                              : FileChange::kChanged;
@@ -137,52 +137,56 @@
   std::vector<std::string> m_conflicts;
 };
 
-/// Writes the chunks that the head will name. Chunks are named by their
-/// content, so writing one again, or beside another operator, is harmless.
+/// Writes the chunks that the head will name. Their keys are digests of their
+/// content, so writing one again, or concurrently with another operator, is
+/// harmless.
 bool WriteChunks(const ConfigFiles& files, const PlatformStore& store) {
   return std::all_of(files.begin(), files.end(), [&](const ConfigFile& file) {
     const std::string key = kChunkPrefix + DigestOf(file.m_text);
     const PlatformResult known = store.m_get(key);
-    if (known.m_end == PlatformEnd::kDone && known.m_value == file.m_text) {
+    if (known.m_end == PlatformOutcome::kDone && known.m_value == file.m_text) {
       return true;
     }
     PutCondition condition;
-    if (known.m_end == PlatformEnd::kDone) {
-      condition.m_tag = known.m_tag;  // A damaged chunk is written over.
+    if (known.m_end == PlatformOutcome::kDone) {
+      condition.m_tag = known.m_tag;  // Overwrites a damaged chunk.
     }
     const PlatformResult put = store.m_put(key, file.m_text, condition);
-    if (put.m_end == PlatformEnd::kDone) {
+    if (put.m_end == PlatformOutcome::kDone) {
       return true;
     }
-    // The answer may be lost, or another operator wrote the same chunk.
+    // The response may be lost, or another operator wrote the same chunk.
     const PlatformResult again = store.m_get(key);
-    return again.m_end == PlatformEnd::kDone && again.m_value == file.m_text;
+    return again.m_end == PlatformOutcome::kDone &&
+           again.m_value == file.m_text;
   });
 }
 
-/// One publication.
+/// Runs one call of Publish().
 class Publisher {
  public:
-  Publisher(const PublishOrder& order, const PlatformStore& store)
-      : m_order(order), m_store(store) {}
+  Publisher(const PublishRequest& request, const PlatformStore& store)
+      : m_request(request), m_store(store) {}
 
   PublishResult Run() {
-    for (int race = 0; race < kMostRaces; ++race) {
+    for (int race = 0; race < kMaxRaces; ++race) {
       auto result = RunOnce();
       if (result) {
         return std::move(*result);
       }
     }
-    return PublishUnavailable{"other operators kept changing the folder"};
+    return PublishUnavailable{
+        "other operators kept changing the configuration"};
   }
 
  private:
-  /// Nothing where another operator was faster.
+  /// Returns nothing if another operator changed the head first.
   std::optional<PublishResult> RunOnce() {
     if (auto done = FindEarlierWrite()) {
       return done;
     }
-    PlanResult planned = PlanPublish(m_order.m_folder, m_order.m_base, m_store);
+    PlanResult planned =
+        PlanPublish(m_request.m_folder, m_request.m_base, m_store);
     if (auto* refused = std::get_if<PublishRefused>(&planned)) {
       return std::move(*refused);
     }
@@ -196,18 +200,20 @@
   }
 
   std::optional<PublishResult> Execute(PublishPlan& plan) {
-    const bool is_behind = m_order.m_floor > plan.m_on_top_of;
-    const ConfigVersion below = is_behind ? m_order.m_floor : plan.m_on_top_of;
+    const bool is_behind = m_request.m_min_version > plan.m_parent_version;
+    const ConfigVersion base_version =
+        is_behind ? m_request.m_min_version : plan.m_parent_version;
     if (plan.m_changes.empty() && !is_behind) {
-      return PublishAccepted{MakeHead(plan.m_files, plan.m_on_top_of,
-                                      m_order.m_change_id, plan.m_history),
+      return PublishAccepted{MakeHead(plan.m_files, plan.m_parent_version,
+                                      m_request.m_change_id, plan.m_history),
                              {},
                              std::move(plan.m_rebased)};
     }
-    const Head head = MakeHead(plan.m_files, ConfigVersion(below.Get() + 1),
-                               m_order.m_change_id, plan.m_history);
+    const Head head =
+        MakeHead(plan.m_files, ConfigVersion(base_version.Get() + 1),
+                 m_request.m_change_id, plan.m_history);
     const std::string record = FormatHead(head);
-    if (record.size() > kMostValueBytes) {
+    if (record.size() > kMaxValueBytes) {
       return PublishRefused{
           {{"(folder)", "", "", "has too many files", "fewer files"}}};
     }
@@ -222,56 +228,56 @@
                                          PublishPlan& plan) {
     const PutCondition condition{plan.m_head_tag};
     bool may_be_written = false;
-    for (int attempt = 0; attempt < kMostHeadWrites; ++attempt) {
+    for (int attempt = 0; attempt < kMaxHeadWriteAttempts; ++attempt) {
       const PlatformResult put = m_store.m_put(kHeadKey, record, condition);
-      if (put.m_end == PlatformEnd::kDone) {
+      if (put.m_end == PlatformOutcome::kDone) {
         return PublishAccepted{head, std::move(plan.m_changes),
                                std::move(plan.m_rebased)};
       }
-      if (put.m_end == PlatformEnd::kConflict && !may_be_written) {
+      if (put.m_end == PlatformOutcome::kConflict && !may_be_written) {
         return std::nullopt;
       }
-      may_be_written |= put.m_end == PlatformEnd::kUnknown;
-      if (put.m_end == PlatformEnd::kConflict) {
+      may_be_written |= put.m_end == PlatformOutcome::kUnknown;
+      if (put.m_end == PlatformOutcome::kConflict) {
         return SettleConflict(head, plan);
       }
       if (!may_be_written) {
         return PublishUnavailable{"the platform did not answer"};
       }
-      // The answer was lost. Writing the same record again under the same
+      // The response was lost. Writing the same record again under the same
       // condition does no harm: either the first write took effect, and this
       // one conflicts, or it did not.
     }
-    return PublishUnknown{m_order.m_change_id};
+    return PublishUnknown{m_request.m_change_id};
   }
 
-  /// The condition failed after a write whose answer was lost: by that write
-  /// of ours, or by another operator's.
+  /// Handles a failed condition after a write whose response was lost: either
+  /// that write or one by another operator changed the head.
   std::optional<PublishResult> SettleConflict(const Head& head,
                                               PublishPlan& plan) {
     const auto current = ReadHead(m_store);
     const auto* found = std::get_if<CurrentHead>(&current);
     if (found == nullptr) {
-      return PublishUnknown{m_order.m_change_id};
+      return PublishUnknown{m_request.m_change_id};
     }
-    if (found->m_head.Contains(m_order.m_change_id)) {
+    if (found->m_head.Contains(m_request.m_change_id)) {
       return PublishAccepted{head, std::move(plan.m_changes),
                              std::move(plan.m_rebased)};
     }
     return std::nullopt;
   }
 
-  /// The change may be in already, from a command with the same id.
+  /// The change may already be published, by a command with the same id.
   std::optional<PublishResult> FindEarlierWrite() {
     const auto current = ReadHead(m_store);
     const auto* found = std::get_if<CurrentHead>(&current);
-    if (found == nullptr || !found->m_head.Contains(m_order.m_change_id)) {
+    if (found == nullptr || !found->m_head.Contains(m_request.m_change_id)) {
       return std::nullopt;
     }
     return PublishAccepted{found->m_head, {}, {}};
   }
 
-  const PublishOrder& m_order;
+  const PublishRequest& m_request;
   const PlatformStore& m_store;
 };
 
@@ -282,7 +288,7 @@
                        const PlatformStore& store) {
   Faults faults;
   for (const ConfigFile& file : folder) {
-    if (file.m_text.size() > kMostValueBytes) {
+    if (file.m_text.size() > kMaxValueBytes) {
       faults.push_back({file.m_name, "", std::to_string(file.m_text.size()),
                         "is too large",
                         "at most 1048576 bytes; split the file"});
@@ -300,13 +306,13 @@
     return *unavailable;
   }
   const auto& head = std::get<CurrentHead>(current);
-  PlanResult result = Merge(folder, base, head.m_head, store).Run();
+  PlanResult result = ThreeWayMerge(folder, base, head.m_head, store).Run();
   auto* plan = std::get_if<PublishPlan>(&result);
   if (plan == nullptr) {
     return result;
   }
   plan->m_head_tag = head.m_tag;
-  // Two changes, each sound by itself, can be unsound together.
+  // Two changes that are each valid can be invalid together.
   auto merged = ParseConfig(plan->m_files, ConfigVersion(1));
   if (auto* found = std::get_if<Faults>(&merged)) {
     return PublishRefused{std::move(*found)};
@@ -314,8 +320,9 @@
   return result;
 }
 
-PublishResult Publish(const PublishOrder& order, const PlatformStore& store) {
-  return Publisher(order, store).Run();
+PublishResult Publish(const PublishRequest& request,
+                      const PlatformStore& store) {
+  return Publisher(request, store).Run();
 }
 
 }  // namespace sorrelplank
--- a/src/config/publish_func.h
+++ b/src/config/publish_func.h
@@ -1,4 +1,4 @@
-/// @file publish_func.h Accepting a changed folder into the platform.
+/// @file publish_func.h Publishing of a configuration folder to the platform.
 
 #ifndef SORRELPLANK_CONFIG_PUBLISH_FUNC_H_
 #define SORRELPLANK_CONFIG_PUBLISH_FUNC_H_
@@ -16,8 +16,8 @@
 
 namespace sorrelplank {
 
-/// The platform, call by call. The command line blocks on an HTTP client;
-/// tests use a table in memory.
+/// Calls to the platform's key-value service. The command line uses a blocking
+/// HTTP client; tests use a table in memory.
 struct PlatformStore {
   std::function<PlatformResult(const std::string& key)> m_get;
   std::function<PlatformResult(const std::string& key,
@@ -26,7 +26,7 @@
       m_put;
 };
 
-/// What a file's two sides did to it since the base.
+/// How an apply would change a file of the current head.
 enum class FileChange : uint8_t { kAdded, kChanged, kRemoved };
 
 /// A file that an apply would change.
@@ -35,39 +35,40 @@
   FileChange m_change;
 };
 
-/// Result of testing an apply.
+/// The changes that an apply would make.
 struct PublishPlan {
-  /// The folder as it would be in force: ours, with what others changed in
-  /// other files since our base.
+  /// The resulting files: ours, with the changes that others made to other
+  /// files since our base.
   ConfigFiles m_files;
   std::vector<PlannedFile> m_changes;
-  /// Files that others changed and we keep as theirs.
+  /// Files that others changed since our base, kept in their version.
   std::vector<std::string> m_rebased;
-  ConfigVersion m_on_top_of;
+  ConfigVersion m_parent_version;
   /// Entity tag of the head that the plan was made against.
   std::optional<std::string> m_head_tag;
   std::vector<std::string> m_history;
 };
 
-/// The folder is refused; nothing was written.
+/// The folder is refused; the head was not written.
 struct PublishRefused {
   Faults m_faults;
 };
-/// The same files were changed by somebody else since our base.
+/// The same files were changed by us and by someone else since our base.
 struct PublishConflict {
   std::vector<std::string> m_files;
   ConfigVersion m_base;
   ConfigVersion m_current;
 };
-/// The platform could not be asked; nothing was written.
+/// The platform is unreachable, its data is damaged, or the head kept changing;
+/// the head was not written.
 struct PublishUnavailable {
-  std::string m_what;
+  std::string m_reason;
 };
-/// The write may have taken effect.
+/// The write of the head may have taken effect.
 struct PublishUnknown {
   std::string m_change_id;
 };
-/// Accepted, or nothing to change.
+/// The folder was accepted, or there was nothing to change.
 struct PublishAccepted {
   Head m_head;
   std::vector<PlannedFile> m_changes;
@@ -82,27 +83,28 @@
                                    PublishUnavailable,
                                    PublishUnknown>;
 
-/// Tests an apply: what would change, or why it is refused. Base: the head
-/// that the folder was last in step with, if any.
+/// Plans an apply without writing anything: what would change, or why it is
+/// refused. Base: the head that the folder was last in sync with, if any.
 PlanResult PlanPublish(const ConfigFiles& folder,
                        const std::optional<Head>& base,
                        const PlatformStore& store);
 
-/// What to publish.
-struct PublishOrder {
+/// Arguments of Publish().
+struct PublishRequest {
   ConfigFiles m_folder;
   std::optional<Head> m_base;
-  /// Repeating a command with the id of one whose outcome was unknown never
-  /// applies it twice.
+  /// Makes the command idempotent: repeating a command whose outcome was
+  /// unknown with the same id never applies it twice.
   std::string m_change_id;
-  /// Highest version that any entry VM is known to have seen; the new one
-  /// lies above it even where the platform was restored to an older state.
-  ConfigVersion m_floor;
+  /// Highest version that any entry VM is known to have seen. The new version
+  /// is higher even if the platform was restored to an older state.
+  ConfigVersion m_min_version;
 };
 
-/// Tests by PlanPublish, then executes. On a race with another operator it
-/// plans anew on top of their change, a few times.
-PublishResult Publish(const PublishOrder& order, const PlatformStore& store);
+/// Plans with PlanPublish(), then writes. If another operator changes the head
+/// meanwhile, plans again on top of that change, a limited number of times.
+PublishResult Publish(const PublishRequest& request,
+                      const PlatformStore& store);
 
 }  // namespace sorrelplank
 
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -21,7 +21,7 @@
     return object[key].get<Number>();
   }
   const FieldRow* row = FindField(kSettingsTable, "", key);
-  Invariant(row != nullptr, "each setting that is read stands in the table");
+  Invariant(row != nullptr, "each setting that is read is in the table");
   return static_cast<Number>(row->m_default);
 }
 
--- a/src/config/settings_type.h
+++ b/src/config/settings_type.h
@@ -31,11 +31,11 @@
   bool m_fault_switch = false;
 };
 
-/// Parses a settings text; all faults at once.
+/// Parses a settings file. Returns the settings, or all faults found.
 std::variant<Settings, Faults> ParseSettings(const std::string& text,
                                              const std::string& file);
 
-/// The table of settings, for people or as JSON.
+/// The table of settings, as text or as JSON.
 std::string PrintSettingsTable(bool as_json);
 
 }  // namespace sorrelplank
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,4 +1,4 @@
-/// @file main.cc Picks the subcommand.
+/// @file main.cc Runs the subcommand that the arguments name.
 
 #include <algorithm>
 #include <iostream>
@@ -18,9 +18,11 @@
     {"diff", "show what an apply would change", RunDiff},
     {"apply", "publish a configuration folder", RunApply},
     {"status", "show versions, headroom and leaving servers", RunStatus},
-    {"explain", "show what a caller would be answered, and why", RunExplain},
+    {"explain", "show the response that a caller would get, and why",
+     RunExplain},
     {"timeline", "show the events of all entry VMs in one order", RunTimeline},
-    {"explain-log", "tell a request's story from log lines", RunExplainLog},
+    {"explain-log", "show the log lines about a request in one order",
+     RunExplainLog},
 };
 
 void PrintHelp(std::ostream& out) {
@@ -32,9 +34,9 @@
         << std::string(13 - std::string(command.m_name).size(), ' ')
         << command.m_help << "\n";
   }
-  out << "\nsorrelplank COMMAND --help tells a command's options.\n"
+  out << "\nsorrelplank COMMAND --help shows the options of a command.\n"
          "Exit codes: 0 done, 1 refused or faulty input, 2 wrong usage,\n"
-         "3 platform or entry VM out of reach, or outcome unknown.\n";
+         "3 platform or entry VM unreachable, or outcome unknown.\n";
 }
 
 int Run(const std::vector<std::string>& arguments) {
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Runs libcurl's global set-up once per process.
+/// Global initialisation of libcurl, done once per process.
 struct CurlGlobal {
   CurlGlobal() { curl_global_init(CURL_GLOBAL_DEFAULT); }
   ~CurlGlobal() { curl_global_cleanup(); }
@@ -76,7 +76,7 @@
   }
 
  private:
-  /// One fetch under way.
+  /// A fetch in progress.
   struct Fetch {
     uint64_t m_id = 0;
     HttpFetch m_request;
@@ -87,22 +87,22 @@
     bool m_too_large = false;
   };
 
-  /// A socket of libcurl's that asio watches.
+  /// A socket of libcurl that asio watches.
   struct Watch {
     Watch(asio::io_context& io, curl_socket_t socket)
         : m_descriptor(io, socket) {}
     asio::posix::stream_descriptor m_descriptor;
-    int m_wanted = 0;
+    int m_poll_flags = 0;
     bool m_reading = false;
     bool m_writing = false;
   };
 
   void Prepare(Fetch& fetch) {
-    if (m_idle.empty()) {
+    if (m_idle_handles.empty()) {
       fetch.m_easy = curl_easy_init();
     } else {
-      fetch.m_easy = m_idle.back();
-      m_idle.pop_back();
+      fetch.m_easy = m_idle_handles.back();
+      m_idle_handles.pop_back();
     }
     CURL* easy = fetch.m_easy;
     const HttpFetch& request = fetch.m_request;
@@ -110,7 +110,8 @@
       fetch.m_header_list =
           curl_slist_append(fetch.m_header_list, (name + ": " + value).c_str());
     }
-    // libcurl would wait a second for "100 Continue" before larger bodies.
+    // Otherwise libcurl would wait one second for "100 Continue" before it
+    // sends larger bodies.
     fetch.m_header_list = curl_slist_append(fetch.m_header_list, "Expect:");
     curl_easy_setopt(easy, CURLOPT_PRIVATE, &fetch);
     curl_easy_setopt(easy, CURLOPT_URL, request.m_url.c_str());
@@ -120,9 +121,10 @@
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
     curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
-    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, InMs(request.m_timeout));
+    curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
+                     ToMilliseconds(request.m_timeout));
     curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
-                     InMs(request.m_connect_timeout));
+                     ToMilliseconds(request.m_connect_timeout));
     curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT,
                      request.m_fresh_connection ? 1L : 0L);
     curl_easy_setopt(easy, CURLOPT_FORBID_REUSE,
@@ -146,7 +148,7 @@
     curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, request.m_method.c_str());
   }
 
-  static long InMs(Duration duration) {  // NOLINT(google-runtime-int)
+  static long ToMilliseconds(Duration duration) {  // NOLINT(google-runtime-int)
     const auto ms = std::chrono::duration_cast<milliseconds>(duration).count();
     return std::max<long>(1, ms);  // NOLINT(google-runtime-int)
   }
@@ -155,7 +157,7 @@
     auto* fetch = static_cast<Fetch*>(user);
     const size_t bytes = size * count;
     if (fetch->m_response.m_body.size() + bytes >
-        fetch->m_request.m_most_bytes) {
+        fetch->m_request.m_max_response_bytes) {
       fetch->m_too_large = true;
       return 0;
     }
@@ -200,7 +202,7 @@
     self->m_timer.async_wait(
         [self, alive = self->m_alive](std::error_code error) {
           if (!error && *alive) {
-            self->Advance(CURL_SOCKET_TIMEOUT, 0);
+            self->HandleSocketAction(CURL_SOCKET_TIMEOUT, 0);
           }
         });
     return 0;
@@ -210,7 +212,7 @@
     const auto it = m_watches.find(socket);
     if (what == CURL_POLL_REMOVE) {
       if (it != m_watches.end()) {
-        it->second->m_wanted = 0;
+        it->second->m_poll_flags = 0;
         it->second->m_descriptor.release();
         m_watches.erase(it);
       }
@@ -219,12 +221,12 @@
     auto watch = it != m_watches.end() ? it->second
                                        : std::make_shared<Watch>(m_io, socket);
     m_watches[socket] = watch;
-    watch->m_wanted = what;
-    Wait(socket, watch);
+    watch->m_poll_flags = what;
+    StartWaiting(socket, watch);
   }
 
-  void Wait(curl_socket_t socket, const std::shared_ptr<Watch>& watch) {
-    if ((watch->m_wanted & CURL_POLL_IN) != 0 && !watch->m_reading) {
+  void StartWaiting(curl_socket_t socket, const std::shared_ptr<Watch>& watch) {
+    if ((watch->m_poll_flags & CURL_POLL_IN) != 0 && !watch->m_reading) {
       watch->m_reading = true;
       watch->m_descriptor.async_wait(
           asio::posix::stream_descriptor::wait_read,
@@ -233,7 +235,7 @@
             OnReady(socket, watch, alive, error, CURL_CSELECT_IN);
           });
     }
-    if ((watch->m_wanted & CURL_POLL_OUT) != 0 && !watch->m_writing) {
+    if ((watch->m_poll_flags & CURL_POLL_OUT) != 0 && !watch->m_writing) {
       watch->m_writing = true;
       watch->m_descriptor.async_wait(
           asio::posix::stream_descriptor::wait_write,
@@ -249,27 +251,27 @@
                const std::shared_ptr<bool>& alive,
                std::error_code error,
                int what) {
-    if (error || !*alive || (watch->m_wanted & Wanted(what)) == 0) {
+    if (error || !*alive || (watch->m_poll_flags & ToPollFlag(what)) == 0) {
       return;
     }
-    Advance(socket, what);
+    HandleSocketAction(socket, what);
     const auto it = m_watches.find(socket);
     if (it != m_watches.end() && it->second == watch) {
-      Wait(socket, watch);
+      StartWaiting(socket, watch);
     }
   }
 
-  static int Wanted(int what) {
+  static int ToPollFlag(int what) {
     return what == CURL_CSELECT_IN ? CURL_POLL_IN : CURL_POLL_OUT;
   }
 
-  void Advance(curl_socket_t socket, int what) {
+  void HandleSocketAction(curl_socket_t socket, int what) {
     int running = 0;
     curl_multi_socket_action(m_multi, socket, what, &running);
-    Collect();
+    FinishCompletedTransfers();
   }
 
-  void Collect() {
+  void FinishCompletedTransfers() {
     int left = 0;
     while (CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
       if (message->msg != CURLMSG_DONE) {
@@ -297,38 +299,39 @@
     fetch->m_callback(std::move(result));
   }
 
-  /// What is certain about the bytes that left us. In doubt: they did.
-  static FetchEnd Classify(const Fetch& fetch, CURLcode code) {
+  /// Says what is certain about the bytes that were sent. If in doubt, they
+  /// count as sent.
+  static FetchOutcome Classify(const Fetch& fetch, CURLcode code) {
     if (code == CURLE_OK) {
-      return FetchEnd::kAnswered;
+      return FetchOutcome::kAnswered;
     }
     if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST ||
         code == CURLE_URL_MALFORMAT || code == CURLE_UNSUPPORTED_PROTOCOL) {
-      return FetchEnd::kConnectFailed;
+      return FetchOutcome::kConnectFailed;
     }
     long sent = 0;  // NOLINT(google-runtime-int)
     curl_easy_getinfo(fetch.m_easy, CURLINFO_REQUEST_SIZE, &sent);
     double connect_seconds = 0;
     curl_easy_getinfo(fetch.m_easy, CURLINFO_CONNECT_TIME, &connect_seconds);
     if (sent == 0) {
-      return connect_seconds > 0 ? FetchEnd::kNothingSent
-                                 : FetchEnd::kConnectFailed;
+      return connect_seconds > 0 ? FetchOutcome::kNothingSent
+                                 : FetchOutcome::kConnectFailed;
     }
     switch (code) {
       case CURLE_OPERATION_TIMEDOUT:
-        return FetchEnd::kTimedOut;
+        return FetchOutcome::kTimedOut;
       case CURLE_SEND_ERROR:
       case CURLE_SEND_FAIL_REWIND:
-        return FetchEnd::kSentPartly;
+        return FetchOutcome::kSentPartly;
       case CURLE_GOT_NOTHING:
-        return FetchEnd::kNoAnswer;
+        return FetchOutcome::kNoAnswer;
       case CURLE_WEIRD_SERVER_REPLY:
       case CURLE_UNSUPPORTED_PROTOCOL:
       case CURLE_WRITE_ERROR:
-        return FetchEnd::kMalformed;
+        return FetchOutcome::kMalformed;
       default:
-        return fetch.m_response.m_headers.empty() ? FetchEnd::kNoAnswer
-                                                  : FetchEnd::kTruncated;
+        return fetch.m_response.m_headers.empty() ? FetchOutcome::kNoAnswer
+                                                  : FetchOutcome::kTruncated;
     }
   }
 
@@ -336,14 +339,14 @@
     curl_multi_remove_handle(m_multi, fetch.m_easy);
     curl_slist_free_all(fetch.m_header_list);
     curl_easy_reset(fetch.m_easy);
-    m_idle.push_back(fetch.m_easy);
-    if (m_idle.size() > kMostIdle) {
-      curl_easy_cleanup(m_idle.back());
-      m_idle.pop_back();
+    m_idle_handles.push_back(fetch.m_easy);
+    if (m_idle_handles.size() > kMaxIdleHandles) {
+      curl_easy_cleanup(m_idle_handles.back());
+      m_idle_handles.pop_back();
     }
   }
 
-  static constexpr size_t kMostIdle = 64;
+  static constexpr size_t kMaxIdleHandles = 64;
 
   asio::io_context& m_io;
   asio::steady_timer m_timer;
@@ -351,7 +354,7 @@
   uint64_t m_next_id = 1;
   std::unordered_map<uint64_t, std::unique_ptr<Fetch>> m_fetches;
   std::unordered_map<curl_socket_t, std::shared_ptr<Watch>> m_watches;
-  std::vector<CURL*> m_idle;
+  std::vector<CURL*> m_idle_handles;
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-/// @file http_client.h Sends HTTP requests without blocking.
+/// @file http_client.h A non-blocking HTTP client.
 
 #ifndef SORRELPLANK_NET_HTTP_CLIENT_H_
 #define SORRELPLANK_NET_HTTP_CLIENT_H_
@@ -15,12 +15,11 @@
 
 namespace sorrelplank {
 
-/// Fetches by libcurl on an io_context. Connections are kept and used again.
+/// HTTP client by libcurl on an io_context. Idle connections are reused.
 ///
-/// libcurl silently sends a request again when a kept connection turns out to
-/// be dead. The server may have run the first copy, so a non-idempotent
-/// request must set m_fresh_connection: on a new connection libcurl never
-/// does that.
+/// libcurl silently resends a request when a reused connection turns out to be
+/// dead. The server may have run the first copy, so a non-idempotent request
+/// must set m_fresh_connection: libcurl never resends on a new connection.
 class HttpClient {
  public:
   using Callback = std::function<void(HttpResult)>;
@@ -28,10 +27,10 @@
   explicit HttpClient(asio::io_context& io);
   ~HttpClient();
 
-  /// Starts a fetch. The callback runs on the io thread, never within Start.
+  /// Starts a fetch. The callback runs on the io thread, never inside Start().
   uint64_t Start(HttpFetch fetch, Callback callback);
 
-  /// Drops a fetch: its connection is closed and its callback never runs.
+  /// Cancels a fetch: its connection is closed and its callback never runs.
   void Cancel(uint64_t fetch);
 
  private:
--- a/src/net/http_message_type.h
+++ b/src/net/http_message_type.h
@@ -1,5 +1,4 @@
-/// @file http_message_type.h HTTP messages as the rest of the program sees
-/// them; no library types.
+/// @file http_message_type.h HTTP messages, independent of the HTTP libraries.
 
 #ifndef SORRELPLANK_NET_HTTP_MESSAGE_TYPE_H_
 #define SORRELPLANK_NET_HTTP_MESSAGE_TYPE_H_
@@ -16,7 +15,7 @@
 
 namespace sorrelplank {
 
-/// Header fields in order of sending.
+/// Header fields in the order in which they are sent.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
 /// A request that a server received.
@@ -39,29 +38,29 @@
   std::optional<std::string> Header(const std::string& name) const;
 };
 
-/// An answer, sent or received.
+/// A response, sent or received.
 struct HttpResponse {
   int m_status = 200;
   std::string m_content_type = "application/json";
   HttpHeaders m_headers;
   std::string m_body;
-  /// The connection is closed behind the answer.
+  /// Close the connection after the response.
   bool m_close = false;
 };
 
-/// Sends the answer to one request; to be called once, on the io thread.
+/// Sends the response to one request. Must be called once, on the io thread.
 using HttpReply = std::function<void(HttpResponse)>;
 
-/// How a fetch ended.
-enum class FetchEnd : uint8_t {
-  kAnswered,       ///< A whole answer arrived.
-  kConnectFailed,  ///< No connection.
-  kNothingSent,    ///< Connected, but not one byte was sent.
+/// Outcome of a fetch.
+enum class FetchOutcome : uint8_t {
+  kAnswered,       ///< A complete response arrived.
+  kConnectFailed,  ///< No connection was established.
+  kNothingSent,    ///< Connected, but no byte was sent.
   kSentPartly,     ///< The connection broke while sending.
-  kNoAnswer,       ///< Sent; no byte came back.
-  kTruncated,      ///< The answer broke off.
-  kMalformed,      ///< What came back is no HTTP, or too large.
-  kTimedOut,       ///< The time limit passed after bytes were sent.
+  kNoAnswer,       ///< Sent, but no response arrived.
+  kTruncated,      ///< The response was cut off.
+  kMalformed,      ///< The response is not valid HTTP, or too large.
+  kTimedOut,       ///< Timed out after bytes were sent.
 };
 
 /// A request to send.
@@ -72,28 +71,28 @@
   std::string m_body;
   Duration m_timeout = seconds(5);
   Duration m_connect_timeout = milliseconds(500);
-  size_t m_most_bytes = 4U << 20U;
-  /// Never send on a kept connection. See HttpClient.
+  size_t m_max_response_bytes = 4U << 20U;
+  /// Never send on a reused connection. See HttpClient.
   bool m_fresh_connection = false;
-  /// Close the connection behind the answer.
+  /// Close the connection after the response.
   bool m_close_connection = false;
 };
 
-/// What came of it.
+/// Result of a fetch.
 struct HttpResult {
-  FetchEnd m_end = FetchEnd::kConnectFailed;
+  FetchOutcome m_end = FetchOutcome::kConnectFailed;
   HttpResponse m_response;
   std::string m_error;
 };
 
-/// The value of the first field with a lower-case name, or nullptr.
+/// The value of the first field with this lower-case name, or nullptr.
 const std::string* FindField(const HttpHeaders& headers,
                              const std::string& name);
 
-/// ASCII letters in lower case.
+/// Converts ASCII letters to lower case.
 std::string ToLower(std::string text);
 
-/// Reads "a=b&c=d"; percent escapes are decoded.
+/// Parses "a=b&c=d" and decodes percent escapes.
 std::map<std::string, std::string> ParseQuery(const std::string& query);
 
 }  // namespace sorrelplank
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -14,14 +14,14 @@
 
 namespace rest = restinio;
 
-/// A bare number of requests on one connection that may wait; more than one,
-/// so that the server keeps reading and notices when the caller leaves.
-constexpr size_t kPipelined = 16;
-/// RESTinio's own limits sit above ours, so that a body a little too large
-/// still gets a clear 413 instead of a closed connection.
-constexpr size_t kBodySlack = 4;
-
-/// Passes on the closing of connections.
+/// Maximum number of pipelined requests on a connection. More than one, so that
+/// the server keeps reading and notices when the caller disconnects.
+constexpr size_t kMaxPipelinedRequests = 16;
+/// RESTinio's body limit is this multiple of ours, so that a body slightly too
+/// large gets a 413 response instead of a closed connection.
+constexpr size_t kBodyLimitFactor = 4;
+
+/// Reports closed connections to the ClosedHandler.
 class ConnectionListener {
  public:
   explicit ConnectionListener(HttpServer::ClosedHandler closed)
@@ -67,7 +67,8 @@
   return request;
 }
 
-/// Sends; after_write runs when all bytes were written or the connection ended.
+/// Sends a response; after_write runs when all bytes were written or the
+/// connection was closed.
 void Send(const rest::request_handle_t& to,
           HttpResponse response,
           std::function<void()> after_write) {
@@ -86,7 +87,7 @@
   }
   builder.set_body(std::move(response.m_body));
   builder.done([after_write = std::move(after_write)](const auto&) {
-    // An error is the client's leaving; nothing is left to be written to it.
+    // An error means that the client disconnected, so nothing is left to write.
     after_write();
   });
 }
@@ -108,7 +109,7 @@
     std::exception_ptr failure;
     m_server.open_async(
         [] {}, [&](std::exception_ptr error) { failure = std::move(error); });
-    // Runs the opening, which was only posted, before the caller goes on.
+    // open_async only posts the opening; run it before the constructor returns.
     io.restart();
     io.poll();
     io.restart();
@@ -121,7 +122,7 @@
     m_server.close_async([] {}, [](const std::exception_ptr&) {});
   }
 
-  size_t Unwritten() const { return *m_unwritten; }
+  size_t UnwrittenResponses() const { return *m_unwritten_responses; }
 
   void Reopen(FailureHandler on_failure) {
     m_server.open_async([] {}, std::move(on_failure));
@@ -137,17 +138,17 @@
     settings.address(ip)
         .port(port)
         .buffer_size(8192)
-        .max_pipelined_requests(kPipelined)
+        .max_pipelined_requests(kMaxPipelinedRequests)
         .read_next_http_message_timelimit(std::chrono::seconds(300))
         .handle_request_timeout(std::chrono::seconds(700))
         .write_http_response_timelimit(std::chrono::seconds(30))
         .incoming_http_msg_limits(
             rest::incoming_http_msg_limits_t{}
-                .max_url_size(limits.m_most_field_bytes)
+                .max_url_size(limits.m_max_field_bytes)
                 .max_field_name_size(1024)
-                .max_field_value_size(limits.m_most_field_bytes)
+                .max_field_value_size(limits.m_max_field_bytes)
                 .max_field_count(100)
-                .max_body_size(limits.m_most_body_bytes * kBodySlack))
+                .max_body_size(limits.m_max_body_bytes * kBodyLimitFactor))
         .acceptor_options_setter([](auto& options) {
           options.set_option(asio::ip::tcp::acceptor::reuse_address(true));
         })
@@ -163,11 +164,11 @@
   }
 
   void Handle(const rest::request_handle_t& from, HttpLimits limits) {
-    if (from->body().size() > limits.m_most_body_bytes) {
+    if (from->body().size() > limits.m_max_body_bytes) {
       HttpResponse refusal;
       refusal.m_status = 413;
       refusal.m_body = R"({"error":"body_too_large","limit_bytes":)" +
-                       std::to_string(limits.m_most_body_bytes) + "}";
+                       std::to_string(limits.m_max_body_bytes) + "}";
       Answer(from, std::move(refusal));
       return;
     }
@@ -177,13 +178,14 @@
   }
 
   void Answer(const rest::request_handle_t& to, HttpResponse response) {
-    ++*m_unwritten;
-    Send(to, std::move(response), [unwritten = m_unwritten] { --*unwritten; });
+    ++*m_unwritten_responses;
+    Send(to, std::move(response),
+         [unwritten = m_unwritten_responses] { --*unwritten; });
   }
 
   Handler m_handler;
-  /// Shared with callbacks that may run after this has gone.
-  std::shared_ptr<size_t> m_unwritten = std::make_shared<size_t>(0);
+  /// Shared with callbacks that may run after this object is destroyed.
+  std::shared_ptr<size_t> m_unwritten_responses = std::make_shared<size_t>(0);
   rest::http_server_t<Traits> m_server;
 };
 
@@ -206,8 +208,8 @@
   m_impl->Stop();
 }
 
-size_t HttpServer::Unwritten() const {
-  return m_impl->Unwritten();
+size_t HttpServer::UnwrittenResponses() const {
+  return m_impl->UnwrittenResponses();
 }
 
 void HttpServer::Reopen(FailureHandler on_failure) {
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -17,21 +17,21 @@
 
 namespace sorrelplank {
 
-/// Limits on what a sender may make the server hold.
+/// Limits on what a client can make the server hold in memory.
 struct HttpLimits {
-  size_t m_most_body_bytes = 1U << 20U;
-  size_t m_most_field_bytes = 8192;
+  size_t m_max_body_bytes = 1U << 20U;
+  size_t m_max_field_bytes = 8192;
 };
 
-/// Serves HTTP by RESTinio on an io_context that one thread runs.
+/// HTTP server by RESTinio, on an io_context that one thread runs.
 class HttpServer {
  public:
   using Handler = std::function<void(HttpRequest, HttpReply)>;
-  /// Told when a connection with a request under way is closed.
+  /// Called when a connection is closed, even with a request in progress.
   using ClosedHandler = std::function<void(uint64_t connection)>;
   using FailureHandler = std::function<void(std::exception_ptr)>;
 
-  /// Listens at once; throws std::runtime_error where it cannot.
+  /// Starts to listen; throws std::runtime_error if it cannot.
   HttpServer(asio::io_context& io,
              const std::string& ip,
              uint16_t port,
@@ -40,13 +40,13 @@
              ClosedHandler closed = nullptr);
   ~HttpServer();
 
-  /// Accepts no more connections.
+  /// Stops accepting connections.
   void Stop();
 
-  /// Answers that were handed over and are not yet written whole.
-  size_t Unwritten() const;
+  /// Number of responses passed to the server and not yet written completely.
+  size_t UnwrittenResponses() const;
 
-  /// Accepts connections again after Stop; on_failure runs where it cannot.
+  /// Accepts connections again after Stop(); calls on_failure if it cannot.
   void Reopen(FailureHandler on_failure);
 
  private:
--- a/src/net/peer_client.cc
+++ b/src/net/peer_client.cc
@@ -19,9 +19,9 @@
 constexpr Duration kConfigTimeout = milliseconds(3000);
 constexpr int kReconnectMinMs = 100;
 constexpr int kReconnectMaxMs = 1000;
-constexpr int kMostMessageBytes = 32 << 20;
+constexpr int kMaxMessageBytes = 32 << 20;
 
-/// One call under way, alive until its callback ran on the io thread.
+/// State of a call in progress, alive until its callback ran on the io thread.
 template <typename Request, typename Reply>
 struct CallState {
   grpc::ClientContext m_context;
@@ -29,13 +29,13 @@
   Reply m_reply;
 };
 
-PeerEnd ToEnd(const grpc::Status& status) {
+PeerOutcome ToOutcome(const grpc::Status& status) {
   if (status.ok()) {
-    return PeerEnd::kAnswered;
+    return PeerOutcome::kAnswered;
   }
   return status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED
-             ? PeerEnd::kTimedOut
-             : PeerEnd::kLost;
+             ? PeerOutcome::kTimedOut
+             : PeerOutcome::kLost;
 }
 
 }  // namespace
@@ -45,12 +45,12 @@
   explicit Impl(asio::io_context& io) : m_io(io) {}
 
   ~Impl() {
-    // Callbacks hold pointers to the io_context: none may be left.
+    // Callbacks refer to the io_context, so wait until none is left.
     std::unique_lock<std::mutex> lock(m_mutex);
     for (auto& [id, context] : m_contexts) {
       context->TryCancel();
     }
-    m_all_done.wait(lock, [this] { return m_open == 0; });
+    m_all_done.wait(lock, [this] { return m_open_calls == 0; });
   }
 
   template <typename Request, typename Reply, typename Method>
@@ -60,14 +60,14 @@
                 Callback<Reply> callback,
                 Method method) {
     Peer& peer = PeerAt(to);
-    const bool is_cut = m_cut.contains(to.m_ip);
+    const bool is_cut_off = m_cut_off_ips.contains(to.m_ip);
     const bool is_connected =
         peer.m_channel->GetState(true) == GRPC_CHANNEL_READY;
-    if (is_cut || !is_connected) {
-      // Only a ready connection is used, so that "nothing was sent" is
-      // certain. The state query above has started connecting.
+    if (is_cut_off || !is_connected) {
+      // Only a ready connection is used, so that kUnreachable means for certain
+      // that nothing was sent. GetState(true) has started to connect.
       asio::post(m_io, [callback = std::move(callback)] {
-        callback(PeerEnd::kUnreachable, Reply());
+        callback(PeerOutcome::kUnreachable, Reply());
       });
       return 0;
     }
@@ -79,16 +79,16 @@
     {
       const std::lock_guard<std::mutex> lock(m_mutex);
       m_contexts[id] = &state->m_context;
-      ++m_open;
+      ++m_open_calls;
     }
     auto done = [this, id, state,
                  callback = std::move(callback)](const grpc::Status& status) {
-      asio::post(m_io, [state, callback, end = ToEnd(status)] {
+      asio::post(m_io, [state, callback, end = ToOutcome(status)] {
         callback(end, state->m_reply);
       });
       const std::lock_guard<std::mutex> lock(m_mutex);
       m_contexts.erase(id);
-      --m_open;
+      --m_open_calls;
       m_all_done.notify_all();
     };
     method(*peer.m_stub, state.get(), std::move(done));
@@ -105,10 +105,10 @@
 
   void CountBytes(size_t bytes) { m_control_bytes += bytes; }
   uint64_t ControlBytes() const { return m_control_bytes; }
-  void SetCut(std::set<uint32_t> ips) { m_cut = std::move(ips); }
+  void SetCutOffIps(std::set<uint32_t> ips) { m_cut_off_ips = std::move(ips); }
 
  private:
-  /// A channel to one address; kept for good, there are few.
+  /// A channel to one address. Channels are never closed, as there are few.
   struct Peer {
     std::shared_ptr<grpc::Channel> m_channel;
     std::unique_ptr<proto::Peer::Stub> m_stub;
@@ -120,13 +120,13 @@
       return it->second;
     }
     grpc::ChannelArguments arguments;
-    // A retry inside the library could run a request twice.
+    // A retry by gRPC itself could run a request twice.
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectMinMs);
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kReconnectMinMs);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMaxMs);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-    arguments.SetMaxReceiveMessageSize(kMostMessageBytes);
+    arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
     const std::string target =
         "ipv4:" + FormatIp(address.m_ip) + ":" + std::to_string(address.m_port);
     Peer peer;
@@ -138,13 +138,13 @@
 
   asio::io_context& m_io;
   std::map<VmAddress, Peer> m_peers;
-  std::set<uint32_t> m_cut;
+  std::set<uint32_t> m_cut_off_ips;
   uint64_t m_next_id = 1;
   uint64_t m_control_bytes = 0;
   std::mutex m_mutex;
   std::condition_variable m_all_done;
   std::map<uint64_t, grpc::ClientContext*> m_contexts;
-  size_t m_open = 0;
+  size_t m_open_calls = 0;
 };
 
 PeerClient::PeerClient(asio::io_context& io)
@@ -180,7 +180,7 @@
   m_impl->CountBytes(notice.ByteSizeLong());
   m_impl->Call<proto::SlotNotice, proto::SlotNoticeReply>(
       to, notice, kControlTimeout,
-      [](PeerEnd, const proto::SlotNoticeReply&) {},
+      [](PeerOutcome, const proto::SlotNoticeReply&) {},
       [](auto& stub, auto* state, auto done) {
         stub.async()->Slots(&state->m_context, &state->m_request,
                             &state->m_reply, std::move(done));
@@ -219,8 +219,8 @@
   return m_impl->ControlBytes();
 }
 
-void PeerClient::SetCut(std::set<uint32_t> ips) {
-  m_impl->SetCut(std::move(ips));
+void PeerClient::SetCutOffIps(std::set<uint32_t> ips) {
+  m_impl->SetCutOffIps(std::move(ips));
 }
 
 }  // namespace sorrelplank
--- a/src/net/peer_client.h
+++ b/src/net/peer_client.h
@@ -28,19 +28,19 @@
 class SlotNotice;
 }  // namespace proto
 
-/// How a call to a peer ended.
-enum class PeerEnd : uint8_t {
+/// Outcome of a call to a peer.
+enum class PeerOutcome : uint8_t {
   kAnswered,
-  kUnreachable,  ///< There was no connection: nothing was sent.
-  kLost,         ///< It may have arrived.
-  kTimedOut,     ///< The time limit passed; it may have arrived.
+  kUnreachable,  ///< There was no connection; nothing was sent.
+  kLost,         ///< Failed; the request may have arrived.
+  kTimedOut,     ///< Timed out; the request may have arrived.
 };
 
-/// Calls over gRPC. Callbacks run on the io thread.
+/// Makes gRPC calls to other entry VMs. Callbacks run on the io thread.
 class PeerClient {
  public:
   template <typename Reply>
-  using Callback = std::function<void(PeerEnd, const Reply&)>;
+  using Callback = std::function<void(PeerOutcome, const Reply&)>;
 
   explicit PeerClient(asio::io_context& io);
   ~PeerClient();
@@ -53,7 +53,7 @@
                   const proto::HandOnRequest& request,
                   Duration timeout,
                   Callback<proto::HandOnReply> callback);
-  /// Nobody waits for an answer to it.
+  /// One-way notice; its reply is ignored.
   void Slots(VmAddress to, const proto::SlotNotice& notice);
   void Seen(VmAddress to,
             const proto::SeenRequest& request,
@@ -63,15 +63,16 @@
               const proto::ConfigRequest& request,
               Callback<proto::ConfigReply> callback);
 
-  /// Aborts a hand-on; its callback still runs.
+  /// Aborts a HandOn() call; its callback still runs.
   void Cancel(uint64_t call);
 
-  /// Bytes sent in gossip and configuration, for the control budget.
+  /// Bytes sent in gossip, slot notices and configuration requests, for the
+  /// budget of control traffic.
   uint64_t ControlBytes() const;
 
-  /// Cuts calls to these addresses off, as a network partition would. Only
-  /// for failure runs; see the setting "fault_switch".
-  void SetCut(std::set<uint32_t> ips);
+  /// Makes these addresses unreachable, as a network partition would. Only for
+  /// failure tests; see the setting "fault_switch".
+  void SetCutOffIps(std::set<uint32_t> ips);
 
  private:
   class Impl;
--- a/src/net/peer_convert.cc
+++ b/src/net/peer_convert.cc
@@ -1,4 +1,4 @@
-/// @file peer_convert.cc Conversion with checks.
+/// @file peer_convert.cc Conversion and validation of peer messages.
 
 #include "net/peer_convert_func.h"
 #include "proto/peer.pb.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr size_t kLongestName = 64;
-constexpr uint32_t kHighestPort = 65535;
+constexpr size_t kMaxNameLength = 64;
+constexpr uint32_t kMaxPort = 65535;
 
 }  // namespace
 
@@ -50,12 +50,12 @@
 }
 
 std::optional<VmRecord> FromProto(const proto::VmRecord& message) {
-  const bool is_sound =
-      !message.name().empty() && message.name().size() <= kLongestName &&
+  const bool is_valid =
+      !message.name().empty() && message.name().size() <= kMaxNameLength &&
       message.ip() != 0 && message.peer_port() != 0 &&
-      message.peer_port() <= kHighestPort &&
-      message.caller_port() <= kHighestPort && message.incarnation() != 0;
-  if (!is_sound) {
+      message.peer_port() <= kMaxPort && message.caller_port() <= kMaxPort &&
+      message.incarnation() != 0;
+  if (!is_valid) {
     return std::nullopt;
   }
   VmRecord record;
--- a/src/net/peer_server.cc
+++ b/src/net/peer_server.cc
@@ -1,4 +1,4 @@
-/// @file peer_server.cc gRPC service; hands every call to the io thread.
+/// @file peer_server.cc gRPC service that passes every call to the io thread.
 
 #include "net/peer_server.h"
 
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr int kMostMessageBytes = 32 << 20;
-constexpr Duration kShutdownWait = milliseconds(200);
+constexpr int kMaxMessageBytes = 32 << 20;
+constexpr Duration kShutdownTimeout = milliseconds(200);
 
-/// Reactor of one call; deletes itself when gRPC is done with it. Shared, as
-/// the io thread may answer after a cancellation was reported.
+/// Reactor of one call; deletes itself when gRPC is done with it. That is after
+/// Finish(), so the io thread may still reply after a cancellation.
 class Reactor : public grpc::ServerUnaryReactor {
  public:
   explicit Reactor(std::function<void()> on_cancel)
@@ -49,7 +49,7 @@
     int bound = 0;
     builder.AddListeningPort(ip + ":" + std::to_string(port),
                              grpc::InsecureServerCredentials(), &bound);
-    builder.SetMaxReceiveMessageSize(kMostMessageBytes);
+    builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.RegisterService(this);
     m_server = builder.BuildAndStart();
@@ -60,13 +60,13 @@
   }
 
   ~Impl() override {
-    m_server->Shutdown(std::chrono::system_clock::now() + kShutdownWait);
+    m_server->Shutdown(std::chrono::system_clock::now() + kShutdownTimeout);
   }
 
   grpc::ServerUnaryReactor* Gossip(grpc::CallbackServerContext*,
                                    const proto::GossipMessage* request,
                                    proto::GossipMessage* reply) override {
-    return AnswerAtOnce(request, reply, m_handlers.m_gossip);
+    return PostUnaryCall(request, reply, m_handlers.m_gossip);
   }
 
   grpc::ServerUnaryReactor* Slots(grpc::CallbackServerContext*,
@@ -83,13 +83,13 @@
   grpc::ServerUnaryReactor* Seen(grpc::CallbackServerContext*,
                                  const proto::SeenRequest* request,
                                  proto::SeenReply* reply) override {
-    return AnswerAtOnce(request, reply, m_handlers.m_seen);
+    return PostUnaryCall(request, reply, m_handlers.m_seen);
   }
 
   grpc::ServerUnaryReactor* Config(grpc::CallbackServerContext*,
                                    const proto::ConfigRequest* request,
                                    proto::ConfigReply* reply) override {
-    return AnswerAtOnce(request, reply, m_handlers.m_config);
+    return PostUnaryCall(request, reply, m_handlers.m_config);
   }
 
   grpc::ServerUnaryReactor* HandOn(grpc::CallbackServerContext*,
@@ -111,9 +111,9 @@
 
  private:
   template <typename Request, typename Reply, typename Handler>
-  grpc::ServerUnaryReactor* AnswerAtOnce(const Request* request,
-                                         Reply* reply,
-                                         const Handler& handler) {
+  grpc::ServerUnaryReactor* PostUnaryCall(const Request* request,
+                                          Reply* reply,
+                                          const Handler& handler) {
     auto* reactor = new Reactor(nullptr);
     asio::post(m_io, [request, reply, reactor, &handler] {
       *reply = handler(*request);
--- a/src/net/peer_server.h
+++ b/src/net/peer_server.h
@@ -1,4 +1,4 @@
-/// @file peer_server.h Takes calls of other entry VMs.
+/// @file peer_server.h Receives calls from other entry VMs.
 
 #ifndef SORRELPLANK_NET_PEER_SERVER_H_
 #define SORRELPLANK_NET_PEER_SERVER_H_
@@ -11,7 +11,7 @@
 
 namespace sorrelplank {
 
-/// What the process does with calls; all run on the io thread.
+/// Handlers of the calls; all run on the io thread.
 struct PeerHandlers {
   template <typename Reply>
   using Done = std::function<void(const Reply&)>;
@@ -21,7 +21,7 @@
                      const proto::HandOnRequest&,
                      Done<proto::HandOnReply>)>
       m_hand_on;
-  /// The other entry VM gave a hand-on up.
+  /// The other entry VM cancelled a HandOn call.
   std::function<void(uint64_t call)> m_hand_on_cancelled;
   std::function<void(const proto::SlotNotice&)> m_slots;
   std::function<proto::SeenReply(const proto::SeenRequest&)> m_seen;
@@ -31,7 +31,7 @@
 /// Serves the peer protocol by gRPC.
 class PeerServer {
  public:
-  /// Listens at once; throws std::runtime_error where it cannot.
+  /// Starts to listen; throws std::runtime_error if it cannot.
   PeerServer(asio::io_context& io,
              const std::string& ip,
              uint16_t port,
--- a/src/serve/attempt_end.cc
+++ b/src/serve/attempt_end.cc
@@ -22,21 +22,21 @@
 AttemptOutcome JudgeFetch(const HttpResult& result,
                           const std::string& request_id) {
   switch (result.m_end) {
-    case FetchEnd::kConnectFailed:
+    case FetchOutcome::kConnectFailed:
       return AttemptOutcome::kConnectFailed;
-    case FetchEnd::kNothingSent:
+    case FetchOutcome::kNothingSent:
       return AttemptOutcome::kNothingSent;
-    case FetchEnd::kSentPartly:
+    case FetchOutcome::kSentPartly:
       return AttemptOutcome::kSentPartly;
-    case FetchEnd::kNoAnswer:
+    case FetchOutcome::kNoAnswer:
       return AttemptOutcome::kNoAnswer;
-    case FetchEnd::kTruncated:
+    case FetchOutcome::kTruncated:
       return AttemptOutcome::kAnswerTruncated;
-    case FetchEnd::kMalformed:
+    case FetchOutcome::kMalformed:
       return AttemptOutcome::kAnswerMalformed;
-    case FetchEnd::kTimedOut:
+    case FetchOutcome::kTimedOut:
       return AttemptOutcome::kDeadlineAfterSend;
-    case FetchEnd::kAnswered:
+    case FetchOutcome::kAnswered:
       break;
   }
   // A backend server that names the request in its answer lets us catch one
@@ -50,17 +50,17 @@
   return was_shed ? AttemptOutcome::kShed : AttemptOutcome::kAnswered;
 }
 
-AttemptOutcome JudgeHandOn(PeerEnd end,
+AttemptOutcome JudgeHandOn(PeerOutcome end,
                            const proto::HandOnReply& reply,
                            const std::string& request_id) {
   switch (end) {
-    case PeerEnd::kUnreachable:
+    case PeerOutcome::kUnreachable:
       return AttemptOutcome::kPeerUnreachable;
-    case PeerEnd::kLost:
+    case PeerOutcome::kLost:
       return AttemptOutcome::kPeerLost;
-    case PeerEnd::kTimedOut:
+    case PeerOutcome::kTimedOut:
       return AttemptOutcome::kDeadlineAfterSend;
-    case PeerEnd::kAnswered:
+    case PeerOutcome::kAnswered:
       break;
   }
   if (reply.request_id() != request_id) {
--- a/src/serve/attempt_end_func.h
+++ b/src/serve/attempt_end_func.h
@@ -16,7 +16,7 @@
                           const std::string& request_id);
 
 /// The outcome of a try at another entry VM.
-AttemptOutcome JudgeHandOn(PeerEnd end,
+AttemptOutcome JudgeHandOn(PeerOutcome end,
                            const proto::HandOnReply& reply,
                            const std::string& request_id);
 
--- a/src/serve/call_gateway.cc
+++ b/src/serve/call_gateway.cc
@@ -225,7 +225,7 @@
   pending.m_hand_on = m_peers.HandOn(
       action.m_address, request, action.m_time_left + kTimeoutSlack,
       [this, id = action.m_request, attempt = action.m_attempt](
-          PeerEnd end, const proto::HandOnReply& reply) {
+          PeerOutcome end, const proto::HandOnReply& reply) {
         HandOnEnded(id, attempt, end, reply);
       });
 }
@@ -296,7 +296,7 @@
   }
   m_peers.Seen(action.m_address, request, kSeenTimeout,
                [this, id = action.m_request, vm = action.m_vm](
-                   PeerEnd end, const proto::SeenReply& reply) {
+                   PeerOutcome end, const proto::SeenReply& reply) {
                  SeenEnded(id, vm, end, reply);
                });
 }
@@ -321,7 +321,7 @@
 
 void CallGateway::HandOnEnded(RequestId request,
                               AttemptId attempt,
-                              PeerEnd end,
+                              PeerOutcome end,
                               const proto::HandOnReply& reply) {
   m_driver.Clock().Observe(reply.hlc());
   m_attempts.erase(attempt);
@@ -334,7 +334,7 @@
   AttemptEnded event;
   event.m_attempt = attempt;
   event.m_outcome = JudgeHandOn(end, reply, pending.m_request_id);
-  if (end == PeerEnd::kAnswered && reply.has_slots()) {
+  if (end == PeerOutcome::kAnswered && reply.has_slots()) {
     event.m_slots = FromProto(reply.slots());
     event.m_retry_after = milliseconds(reply.retry_after_ms());
   }
@@ -347,12 +347,12 @@
 
 void CallGateway::SeenEnded(RequestId request,
                             const VmName& vm,
-                            PeerEnd end,
+                            PeerOutcome end,
                             const proto::SeenReply& reply) {
   m_driver.Clock().Observe(reply.hlc());
   KeyState state = KeyState::kUnknown;
   const bool is_sound =
-      end == PeerEnd::kAnswered &&
+      end == PeerOutcome::kAnswered &&
       reply.answer() <= static_cast<uint32_t>(KeyState::kUnknown);
   if (is_sound) {
     state = static_cast<KeyState>(reply.answer());
--- a/src/serve/call_gateway.h
+++ b/src/serve/call_gateway.h
@@ -64,11 +64,11 @@
   void BackendEnded(RequestId request, AttemptId attempt, HttpResult result);
   void HandOnEnded(RequestId request,
                    AttemptId attempt,
-                   PeerEnd end,
+                   PeerOutcome end,
                    const proto::HandOnReply& reply);
   void SeenEnded(RequestId request,
                  const VmName& vm,
-                 PeerEnd end,
+                 PeerOutcome end,
                  const proto::SeenReply& reply);
   /// The answer is a copy: what it came from ends with the request.
   void Finish(RequestId request,
--- a/src/serve/config_spread.cc
+++ b/src/serve/config_spread.cc
@@ -170,8 +170,9 @@
                    [this](const PlatformResult& result) {
                      m_is_asking_platform = false;
                      PlatformAnswered(result);
-                     const bool is_up = result.m_end == PlatformEnd::kDone ||
-                                        result.m_end == PlatformEnd::kUnchanged;
+                     const bool is_up =
+                         result.m_end == PlatformOutcome::kDone ||
+                         result.m_end == PlatformOutcome::kUnchanged;
                      if (is_up && IsWatcher()) {
                        Watch();
                      }
@@ -196,14 +197,14 @@
     request.add_have(digest);
   }
   m_peers.Config(peer, request,
-                 [this](PeerEnd end, const proto::ConfigReply& reply) {
+                 [this](PeerOutcome end, const proto::ConfigReply& reply) {
                    PeerAnswered(end, reply);
                  });
 }
 
 void ConfigSpread::PlatformAnswered(const PlatformResult& result) {
   switch (result.m_end) {
-    case PlatformEnd::kDone: {
+    case PlatformOutcome::kDone: {
       NotePlatform(true);
       m_platform_tag = result.m_tag;
       const auto head = ParseHead(result.m_value);
@@ -215,8 +216,8 @@
       Collect(*head);
       return;
     }
-    case PlatformEnd::kMissing:
-    case PlatformEnd::kUnchanged:
+    case PlatformOutcome::kMissing:
+    case PlatformOutcome::kUnchanged:
       NotePlatform(true);
       return;
     default:
@@ -225,8 +226,9 @@
   }
 }
 
-void ConfigSpread::PeerAnswered(PeerEnd end, const proto::ConfigReply& reply) {
-  if (end != PeerEnd::kAnswered || reply.head().empty()) {
+void ConfigSpread::PeerAnswered(PeerOutcome end,
+                                const proto::ConfigReply& reply) {
+  if (end != PeerOutcome::kAnswered || reply.head().empty()) {
     return;
   }
   const auto head = ParseHead(reply.head());
@@ -278,7 +280,7 @@
     if (!own) {
       m_platform.Get(kChunkPrefix + file.m_digest,
                      [this, work, file](const PlatformResult& result) {
-                       if (result.m_end != PlatformEnd::kDone ||
+                       if (result.m_end != PlatformOutcome::kDone ||
                            DigestOf(result.m_value) != file.m_digest) {
                          // Missing or damaged: nothing of this head comes into
                          // force. Forgetting the tag makes the next watch
--- a/src/serve/config_spread.h
+++ b/src/serve/config_spread.h
@@ -65,7 +65,7 @@
   void AskPeers();
   void AskPeer(VmAddress peer);
   void PlatformAnswered(const PlatformResult& result);
-  void PeerAnswered(PeerEnd end, const proto::ConfigReply& reply);
+  void PeerAnswered(PeerOutcome end, const proto::ConfigReply& reply);
   void Collect(const Head& head);
   void FetchNextChunk(const std::shared_ptr<Collecting>& work);
   void Offer(const Head& head, ConfigFiles files);
--- a/src/serve/entry_process.cc
+++ b/src/serve/entry_process.cc
@@ -238,8 +238,8 @@
       message.set_wants_all(gossip->m_wants_all);
       m_peers.Gossip(
           gossip->m_address, message,
-          [this](PeerEnd end, const proto::GossipMessage& reply) {
-            if (end == PeerEnd::kAnswered && reply.records_size() > 0) {
+          [this](PeerOutcome end, const proto::GossipMessage& reply) {
+            if (end == PeerOutcome::kAnswered && reply.records_size() > 0) {
               m_driver.Feed(GossipArrived{ReadRecords(reply)});
             }
           });
@@ -270,7 +270,7 @@
     m_gateway.SetCutTest([this](uint32_t ip) { return m_cut.contains(ip); });
     return [this](std::set<uint32_t> ips) {
       m_cut = ips;
-      m_peers.SetCut(std::move(ips));
+      m_peers.SetCutOffIps(std::move(ips));
     };
   }
 
--- a/src/table/config_table.h
+++ b/src/table/config_table.h
@@ -7,7 +7,7 @@
 
 namespace sorrelplank {
 
-inline constexpr double kMostRequestsPerSecond = 10'000'000;
+inline constexpr double kMaxRequestsPerSecond = 10'000'000;
 
 inline constexpr FieldRow kConfigTable[] = {
     {"policy", "latency_weight", FieldKind::kNumber, false, 0.5, 0, 1, "", "",
@@ -15,13 +15,13 @@
     {"policy", "headroom_weight", FieldKind::kNumber, false, 0.5, 0, 1, "", "",
      "weight of free slots in the choice of a place"},
     {"policy", "home_reserve_percent", FieldKind::kInteger, false, 10, 0, 90,
-     "%", "", "slots that only callers at home may take"},
+     "%", "", "slots reserved for callers whose home is the place"},
     {"policy", "lookup_ttl_ms", FieldKind::kInteger, false, 2000, 100, 600000,
-     "ms", "", "how long callers may use a lookup answer"},
+     "ms", "", "how long callers may cache a lookup response"},
     {"policy", "region_latency_us", FieldKind::kInteger, false, 20000, 1,
-     1000000, "us", "", "one way between regions"},
+     1000000, "us", "", "one-way latency between regions"},
     {"policy", "domain_latency_us", FieldKind::kInteger, false, 500, 1, 1000000,
-     "us", "", "one way between failure domains of one region"},
+     "us", "", "one-way latency between failure domains of one region"},
     {"policy", "repeat_window_s", FieldKind::kInteger, false, 120, 1, 3600, "s",
      "", "how long idempotency keys are remembered"},
 
@@ -34,8 +34,8 @@
      "requests in flight", "",
      "cap over all its backend servers; 0: their slots are the cap"},
     {"places", "shift_cap_rps", FieldKind::kInteger, true, 0, 0,
-     kMostRequestsPerSecond, "requests/s", "",
-     "cap on requests of callers at home elsewhere; 0: none are taken"},
+     kMaxRequestsPerSecond, "requests/s", "",
+     "cap on requests of callers with another home; 0: none are accepted"},
     {"places", "leaving", FieldKind::kBool, false, 0, 0, 0, "", "",
      "true: its backend servers get no new work"},
 
@@ -47,45 +47,45 @@
     {"services", "idempotent", FieldKind::kBool, true, 0, 0, 0, "", "",
      "true: running a request twice does no harm"},
     {"services", "deadline_ms", FieldKind::kInteger, true, 0, 10, 600000, "ms",
-     "", "longest time to answer; callers may ask for less"},
+     "", "longest response time; callers may ask for less"},
     {"services", "retry_budget_percent", FieldKind::kInteger, false, 10, 0, 100,
-     "%", "", "second tries per hundred first tries"},
+     "%", "", "retries per hundred first attempts"},
     {"services", "body_limit_bytes", FieldKind::kInteger, false, 65536, 0,
      4194304, "bytes", "", "largest body of a request"},
     {"services", "queue_limit", FieldKind::kInteger, false, 32, 0, 10000,
-     "requests", "", "requests that one entry VM lets wait"},
+     "requests", "", "requests that one entry VM may queue"},
     {"services", "expected_run_ms", FieldKind::kInteger, false, 20, 1, 600000,
-     "ms", "", "usual time of one run, before any is measured"},
+     "ms", "", "typical run time, used until one is measured"},
 
     {"backend_servers", "service", FieldKind::kReference, true, 0, 0, 0, "",
      "services", "the service it runs"},
     {"backend_servers", "place", FieldKind::kReference, true, 0, 0, 0, "",
-     "places", "the place it stands in"},
+     "places", "the place it is in"},
     {"backend_servers", "ip", FieldKind::kIp, true, 0, 0, 0, "", "",
      "its IPv4 address"},
     {"backend_servers", "port", FieldKind::kInteger, true, 0, 1, 65535, "", "",
      "its TCP port"},
     {"backend_servers", "slots", FieldKind::kInteger, true, 0, 1, 10000,
-     "requests in flight", "", "requests that it takes at once"},
+     "requests in flight", "", "requests that it runs at once"},
     {"backend_servers", "connections", FieldKind::kInteger, false, 100, 1,
      100000, "connections", "", "connections that it accepts"},
     {"backend_servers", "leaving", FieldKind::kBool, false, 0, 0, 0, "", "",
      "true: it gets no new work"},
 
     {"links", "regions", FieldKind::kNamePair, true, 0, 0, 0, "", "regions",
-     "the two regions that it joins"},
-    {"links", "cap_rps", FieldKind::kInteger, true, 0, 0,
-     kMostRequestsPerSecond, "requests/s", "", "requests over it, each way"},
+     "the two regions that it connects"},
+    {"links", "cap_rps", FieldKind::kInteger, true, 0, 0, kMaxRequestsPerSecond,
+     "requests/s", "", "cap on requests over it, in each direction"},
 
     {"shifts", "from", FieldKind::kReference, true, 0, 0, 0, "", "places",
-     "whose callers are moved"},
+     "place whose callers are moved"},
     {"shifts", "to", FieldKind::kReference, true, 0, 0, 0, "", "places",
-     "where they are moved to"},
+     "place that they are moved to"},
     {"shifts", "percent", FieldKind::kInteger, true, 0, 0, 100, "%", "",
      "share of the callers that is moved"},
 };
 
-/// Sections of named entries, and the two that are built otherwise.
+/// All sections. Entries are named, except in policy and client_blocks.
 inline constexpr std::string_view kConfigSections[] = {
     "policy",   "regions",         "failure_domains", "places", "entry_vms",
     "services", "backend_servers", "client_blocks",   "links",  "shifts"};
--- a/standin/load.cc
+++ b/standin/load.cc
@@ -192,7 +192,7 @@
     m_client.Start(std::move(fetch), [this, sending,
                                       tries](const HttpResult& result) {
       const json answer = json::parse(result.m_response.m_body, nullptr, false);
-      if (result.m_end != FetchEnd::kAnswered ||
+      if (result.m_end != FetchOutcome::kAnswered ||
           result.m_response.m_status != 200 || answer["entry_vms"].empty()) {
         Lookup(sending, tries + 1);
         return;
@@ -236,8 +236,8 @@
   void Judge(const SendingPtr& sending,
              const std::string& vm_id,
              const HttpResult& result) {
-    if (result.m_end != FetchEnd::kAnswered) {
-      if (result.m_end != FetchEnd::kConnectFailed) {
+    if (result.m_end != FetchOutcome::kAnswered) {
+      if (result.m_end != FetchOutcome::kConnectFailed) {
         sending->m_tried += (sending->m_tried.empty() ? "" : ",") + vm_id;
       }
       m_lookups.erase(sending->m_client);
--- a/tests/config_build_test.cc
+++ b/tests/config_build_test.cc
@@ -1,4 +1,4 @@
-/// @file config_build_test.cc Splitting of caps over backend servers.
+/// @file config_build_test.cc Splitting caps over backend servers.
 
 #include <criterion/criterion.h>
 
@@ -35,11 +35,11 @@
   cr_assert_eq(ServerOf("w-n1").m_shift_share, 10);
 }
 
-Test(ConfigBuild, RequestCap_BelowSlots_PartsSumToCap) {
+Test(ConfigBuild, RequestCap_BelowSlots_SharesSumToCap) {
   cr_assert_eq(ServerOf("r-n2").m_slots + ServerOf("w-n2").m_slots, 3);
 }
 
-Test(ConfigBuild, LinkCap_AllServersOfRegion_PartsSumToCap) {
+Test(ConfigBuild, LinkCap_AllServersOfRegion_SharesSumToCap) {
   uint32_t sum = 0;
   for (const BackendServer& backend : g_config->m_backends) {
     sum += backend.m_link_shares.at(1);
--- a/tests/crash_notes_test.cc
+++ b/tests/crash_notes_test.cc
@@ -34,7 +34,7 @@
       [this](HttpFetch fetch, const std::function<void(HttpResult)>& done) {
         m_calls.push_back(json::parse(fetch.m_body));
         HttpResult result;
-        result.m_end = FetchEnd::kAnswered;
+        result.m_end = FetchOutcome::kAnswered;
         result.m_response.m_status = m_status;
         asio::post(m_io, [done, result] { done(result); });
       }};
--- a/tests/faults_test.cc
+++ b/tests/faults_test.cc
@@ -139,26 +139,26 @@
 // What is certain after each end of a call to the platform.
 Test(Faults, PlatformAnswers_EachEnd_SaysWhatIsCertain) {
   struct Row {
-    FetchEnd m_end;
+    FetchOutcome m_end;
     int m_status;
     bool m_is_write;
-    PlatformEnd m_expected;
+    PlatformOutcome m_expected;
   };
   const Row rows[] = {
-      {FetchEnd::kConnectFailed, 0, true, PlatformEnd::kUnavailable},
-      {FetchEnd::kNothingSent, 0, true, PlatformEnd::kUnavailable},
-      {FetchEnd::kSentPartly, 0, true, PlatformEnd::kUnknown},
-      {FetchEnd::kNoAnswer, 0, true, PlatformEnd::kUnknown},
-      {FetchEnd::kTimedOut, 0, true, PlatformEnd::kUnknown},
-      {FetchEnd::kTimedOut, 0, false, PlatformEnd::kUnavailable},
-      {FetchEnd::kTruncated, 0, true, PlatformEnd::kUnknown},
-      {FetchEnd::kAnswered, 200, true, PlatformEnd::kDone},
-      {FetchEnd::kAnswered, 410, false, PlatformEnd::kUnavailable},
-      {FetchEnd::kAnswered, 404, false, PlatformEnd::kMissing},
-      {FetchEnd::kAnswered, 412, true, PlatformEnd::kConflict},
-      {FetchEnd::kAnswered, 429, true, PlatformEnd::kUnavailable},
-      {FetchEnd::kAnswered, 500, true, PlatformEnd::kUnknown},
-      {FetchEnd::kAnswered, 503, true, PlatformEnd::kUnavailable},
+      {FetchOutcome::kConnectFailed, 0, true, PlatformOutcome::kUnavailable},
+      {FetchOutcome::kNothingSent, 0, true, PlatformOutcome::kUnavailable},
+      {FetchOutcome::kSentPartly, 0, true, PlatformOutcome::kUnknown},
+      {FetchOutcome::kNoAnswer, 0, true, PlatformOutcome::kUnknown},
+      {FetchOutcome::kTimedOut, 0, true, PlatformOutcome::kUnknown},
+      {FetchOutcome::kTimedOut, 0, false, PlatformOutcome::kUnavailable},
+      {FetchOutcome::kTruncated, 0, true, PlatformOutcome::kUnknown},
+      {FetchOutcome::kAnswered, 200, true, PlatformOutcome::kDone},
+      {FetchOutcome::kAnswered, 410, false, PlatformOutcome::kUnavailable},
+      {FetchOutcome::kAnswered, 404, false, PlatformOutcome::kMissing},
+      {FetchOutcome::kAnswered, 412, true, PlatformOutcome::kConflict},
+      {FetchOutcome::kAnswered, 429, true, PlatformOutcome::kUnavailable},
+      {FetchOutcome::kAnswered, 500, true, PlatformOutcome::kUnknown},
+      {FetchOutcome::kAnswered, 503, true, PlatformOutcome::kUnavailable},
   };
   for (const Row& row : rows) {
     HttpResult result;
--- a/tests/feed_relay_test.cc
+++ b/tests/feed_relay_test.cc
@@ -145,7 +145,7 @@
   reply.m_batch =
       std::make_shared<const EventBatch>(std::vector<StoreItem>{sent});
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response = EncodeFeedReply(reply);
   const FeedReply read = DecodeFeedReply(result);
   const auto& events = read.m_batch->Events();
@@ -167,7 +167,7 @@
   reply.m_batch = std::make_shared<const EventBatch>(
       std::vector<StoreItem>{{"op/config", "value", Revision(12), false}});
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response = EncodeFeedReply(reply);
   const std::string whole = result.m_response.m_body;
   std::minstd_rand random(1);
@@ -180,7 +180,7 @@
     }
     DecodeFeedReply(result);
   }
-  result.m_end = FetchEnd::kTruncated;
+  result.m_end = FetchOutcome::kTruncated;
   result.m_response.m_body = whole;
   cr_expect_eq(static_cast<int>(DecodeFeedReply(result).m_end),
                static_cast<int>(FeedEnd::kUnanswered));
--- a/tests/free_port_func.h
+++ b/tests/free_port_func.h
@@ -1,4 +1,4 @@
-/// @file free_port_func.h A port for a server of a test.
+/// @file free_port_func.h Picks a free port for a server in a test.
 
 #ifndef SORRELPLANK_TESTS_FREE_PORT_FUNC_H_
 #define SORRELPLANK_TESTS_FREE_PORT_FUNC_H_
@@ -8,7 +8,7 @@
 
 namespace sorrelplank {
 
-/// A port of the loopback address that was free a moment ago.
+/// A port of the loopback address that was free when this was called.
 inline uint16_t FreePort() {
   asio::io_context io;
   const asio::ip::tcp::acceptor acceptor(
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -1,4 +1,5 @@
-/// @file http_server_test.cc The server that clients connect to.
+/// @file http_server_test.cc Unwritten responses and reopening of the HTTP
+/// server.
 
 #include <criterion/criterion.h>
 
@@ -14,10 +15,10 @@
 namespace sorrelplank {
 namespace {
 
-/// More than the socket buffers of both sides hold.
-constexpr size_t kLongBody = 32U << 20U;
+/// Exceeds the socket buffers of both sides.
+constexpr size_t kLongBodyBytes = 32U << 20U;
 
-/// A server that answers everything with a long body, and a client.
+/// A server that responds to every request with a long body, and a client.
 struct HttpServerFixture {
   asio::io_context m_io{1};
   uint16_t m_port = FreePort();
@@ -28,7 +29,7 @@
                       [](const HttpRequest&, const HttpReply& reply) {
                         HttpResponse response;
                         response.m_status = 200;
-                        response.m_body.assign(kLongBody, 'x');
+                        response.m_body.assign(kLongBodyBytes, 'x');
                         response.m_close = true;
                         reply(std::move(response));
                       }};
@@ -38,21 +39,21 @@
     return {asio::ip::make_address("127.0.0.1"), m_port};
   }
 
-  void Ask() {
+  void SendRequest() {
     m_client.connect(Address());
     asio::write(m_client,
                 asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
   }
 
-  /// Runs the server until nothing happens for a moment.
+  /// Runs the server until it is idle for 200 ms.
   void RunUntilIdle() {
-    // It stops by itself whenever nothing is open.
+    // The io_context stops by itself when it has no work left.
     m_io.restart();
     while (m_io.run_one_for(std::chrono::milliseconds(200)) > 0) {
     }
   }
 
-  /// Reads until the server closes; bytes that came.
+  /// Reads until the server closes the connection; returns the bytes read.
   size_t ReadAll() {
     size_t total = 0;
     std::string buffer(1U << 16U, ' ');
@@ -82,21 +83,21 @@
 
 TestSuite(HttpServer, .init = SetUp, .fini = TearDown);
 
-// A VM is stopping. It handed its last answer, a long download, to the server,
-// and a slow client has read half of it. A process that ended now would cut
-// the answer: it must be able to see that bytes are left.
-Test(HttpServer, LongAnswer_ClientReadsSlowly_CountsAsUnwritten) {
-  g_fixture->Ask();
+// A stopping VM has passed its last response, a long download, to the server,
+// and a slow client has read half of it. Exiting now would truncate the
+// response, so the process must be able to see that bytes are unwritten.
+Test(HttpServer, LongResponse_ClientReadsSlowly_CountsAsUnwritten) {
+  g_fixture->SendRequest();
   g_fixture->RunUntilIdle();
-  cr_assert_eq(g_fixture->m_server.Unwritten(), 1);
-  cr_assert_gt(g_fixture->ReadAll(), kLongBody);
+  cr_assert_eq(g_fixture->m_server.UnwrittenResponses(), 1);
+  cr_assert_gt(g_fixture->ReadAll(), kLongBodyBytes);
   g_fixture->RunUntilIdle();
-  cr_assert_eq(g_fixture->m_server.Unwritten(), 0);
+  cr_assert_eq(g_fixture->m_server.UnwrittenResponses(), 0);
 }
 
-// A VM that knows no routing table closed its port and has one now. Clients
-// that were turned away find it open again.
-Test(HttpServer, Stopped_Reopened_AnswersAgain) {
+// A VM without a routing table closes its port, and reopens it when it has one.
+// Clients that were refused can then connect again.
+Test(HttpServer, Stopped_Reopened_RespondsAgain) {
   g_fixture->m_server.Stop();
   g_fixture->RunUntilIdle();
   std::error_code refused;
@@ -106,17 +107,17 @@
   g_fixture->m_server.Reopen(
       [](const std::exception_ptr&) { cr_assert_fail("cannot listen"); });
   g_fixture->RunUntilIdle();
-  g_fixture->Ask();
-  cr_assert_gt(g_fixture->ReadAll(), kLongBody);
+  g_fixture->SendRequest();
+  cr_assert_gt(g_fixture->ReadAll(), kLongBodyBytes);
 }
 
-// The client leaves in the middle. Nothing is left to wait for.
-Test(HttpServer, LongAnswer_ClientLeaves_NothingIsLeft) {
-  g_fixture->Ask();
+// The client disconnects during the response. Nothing is left to wait for.
+Test(HttpServer, LongResponse_ClientDisconnects_NothingUnwritten) {
+  g_fixture->SendRequest();
   g_fixture->RunUntilIdle();
   g_fixture->m_client.close();
   g_fixture->RunUntilIdle();
-  cr_assert_eq(g_fixture->m_server.Unwritten(), 0);
+  cr_assert_eq(g_fixture->m_server.UnwrittenResponses(), 0);
 }
 
 }  // namespace
--- a/tests/log_merge_test.cc
+++ b/tests/log_merge_test.cc
@@ -1,4 +1,4 @@
-/// @file log_merge_test.cc One order over the logs of many processes.
+/// @file log_merge_test.cc Merging the logs of many processes into one order.
 
 #include "cli/log_merge_func.h"
 
@@ -17,9 +17,9 @@
          R"(","event":")" + event + "\"" + fields + "}\n";
 }
 
-// One process's clock is two seconds ahead. Sorted by their own times, it would
-// seem to refuse a request before the evacuation that is the cause; both saw
-// the same changes of the store, which tells the difference.
+// One process's clock is two seconds ahead. Sorted by uncorrected times, it
+// would seem to refuse a request before the evacuation that caused the refusal.
+// The clock difference follows from the changes in the store that both saw.
 Test(LogMerge, ClockAhead_SharedChanges_CauseComesFirst) {
   std::string text;
   text += Line(1000, "a", "config", R"(,"version":3)");
@@ -41,7 +41,7 @@
   cr_assert_leq(std::abs(events.back().m_time.count() - 5000200), 200);
 }
 
-Test(LogMerge, PrefixesAndDamagedLines_Mixed_AreReadOrSkipped) {
+Test(LogMerge, PrefixedAndDamagedLines_Mixed_AreParsedOrSkipped) {
   const auto events = ParseLogLines(
       "  12.5 vm-1 " + Line(7, "vm-1", "start", "") + "no event\n" +
       R"({"time_us":1,"vm":"a"})"
--- a/tests/platform_decode_test.cc
+++ b/tests/platform_decode_test.cc
@@ -148,7 +148,7 @@
 // and dropped again: this VM learned nothing more from the store.
 Test(PlatformDecode, StoreRead_OneValueUnreadable_OthersHold) {
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response.m_body = R"({"items":[
       {"Key":"servers/a","Value":"%%%","Rev":3},
       {"Key":"servers/b","Value":"eHl6","Rev":4}],
@@ -169,23 +169,23 @@
 
 /// A store's answer and what it proves.
 struct StoreCase {
-  FetchEnd m_fetch;
+  FetchOutcome m_fetch;
   int m_status;
   StoreEnd m_end;
 };
 
 constexpr StoreCase kStoreCases[] = {
-    {FetchEnd::kAnswered, 200, StoreEnd::kDone},
-    {FetchEnd::kAnswered, 404, StoreEnd::kMissing},
-    {FetchEnd::kAnswered, 410, StoreEnd::kHistoryGone},
-    {FetchEnd::kAnswered, 412, StoreEnd::kConflict},
-    {FetchEnd::kAnswered, 429, StoreEnd::kRefused},
-    {FetchEnd::kAnswered, 503, StoreEnd::kRefused},
-    {FetchEnd::kAnswered, 500, StoreEnd::kUnknown},
-    {FetchEnd::kConnectFailed, 0, StoreEnd::kRefused},
-    {FetchEnd::kNoAnswer, 0, StoreEnd::kUnknown},
-    {FetchEnd::kTimedOut, 0, StoreEnd::kUnknown},
-    {FetchEnd::kTruncated, 200, StoreEnd::kUnknown}};
+    {FetchOutcome::kAnswered, 200, StoreEnd::kDone},
+    {FetchOutcome::kAnswered, 404, StoreEnd::kMissing},
+    {FetchOutcome::kAnswered, 410, StoreEnd::kHistoryGone},
+    {FetchOutcome::kAnswered, 412, StoreEnd::kConflict},
+    {FetchOutcome::kAnswered, 429, StoreEnd::kRefused},
+    {FetchOutcome::kAnswered, 503, StoreEnd::kRefused},
+    {FetchOutcome::kAnswered, 500, StoreEnd::kUnknown},
+    {FetchOutcome::kConnectFailed, 0, StoreEnd::kRefused},
+    {FetchOutcome::kNoAnswer, 0, StoreEnd::kUnknown},
+    {FetchOutcome::kTimedOut, 0, StoreEnd::kUnknown},
+    {FetchOutcome::kTruncated, 200, StoreEnd::kUnknown}};
 
 Test(PlatformDecode, StoreAnswer_EachEnd_ProvesWhatItProves) {
   for (const StoreCase& one : kStoreCases) {
@@ -199,7 +199,7 @@
 
 Test(PlatformDecode, StoreRead_ItemsAndRemovals_AreDecoded) {
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response.m_body =
       R"({"events":[{"Key":"a","Value":"bm9kZS0x","Rev":412,"Created":412,
           "Lease":77120},{"Key":"b","Rev":413,"Deleted":true}],
@@ -213,7 +213,7 @@
 
 Test(PlatformDecode, StoreRead_DamagedBody_CountsAsNoAnswer) {
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response.m_body = R"({"events":[{"Key":"a"}],"StoreRevision":4})";
   cr_assert_eq(DecodeRead(result, "events").m_end, StoreEnd::kUnknown);
 }
--- a/tests/publish_test.cc
+++ b/tests/publish_test.cc
@@ -1,4 +1,4 @@
-/// @file publish_test.cc Races, lost answers and damage while publishing.
+/// @file publish_test.cc Races, lost responses and corruption while publishing.
 
 #include "config/publish_func.h"
 
@@ -13,7 +13,7 @@
 namespace sorrelplank {
 namespace {
 
-/// A platform in memory, with faults.
+/// An in-memory platform with fault injection.
 class MemoryPlatform {
  public:
   PlatformStore Store() {
@@ -26,13 +26,13 @@
 
   PlatformResult Get(const std::string& key) {
     if (m_down) {
-      return {PlatformEnd::kUnavailable, "", ""};
+      return {PlatformOutcome::kUnavailable, "", ""};
     }
     const auto it = m_values.find(key);
     if (it == m_values.end()) {
-      return {PlatformEnd::kMissing, "", ""};
+      return {PlatformOutcome::kMissing, "", ""};
     }
-    return {PlatformEnd::kDone, it->second.first,
+    return {PlatformOutcome::kDone, it->second.first,
             std::to_string(it->second.second)};
   }
 
@@ -40,10 +40,10 @@
                      const std::string& value,
                      const PutCondition& condition) {
     if (m_down) {
-      return {PlatformEnd::kUnavailable, "", ""};
+      return {PlatformOutcome::kUnavailable, "", ""};
     }
-    if (key == kHeadKey && m_before_head) {
-      std::exchange(m_before_head, nullptr)();
+    if (key == kHeadKey && m_before_head_write) {
+      std::exchange(m_before_head_write, nullptr)();
     }
     const auto it = m_values.find(key);
     const bool matches =
@@ -52,20 +52,20 @@
                   std::to_string(it->second.second) == *condition.m_tag
             : it == m_values.end();
     if (!matches) {
-      return {PlatformEnd::kConflict, "", ""};
+      return {PlatformOutcome::kConflict, "", ""};
     }
     const bool is_head = key == kHeadKey;
-    if (is_head && m_drop_head_writes > 0) {
-      --m_drop_head_writes;
-      return {PlatformEnd::kUnknown, "", ""};
+    if (is_head && m_lost_head_writes > 0) {
+      --m_lost_head_writes;
+      return {PlatformOutcome::kUnknown, "", ""};
     }
     m_values[key] = {value, m_next_tag++};
-    if (is_head && m_lose_head_answers > 0) {
-      --m_lose_head_answers;
+    if (is_head && m_lost_head_responses > 0) {
+      --m_lost_head_responses;
       m_down = m_down_after_loss;
-      return {PlatformEnd::kUnknown, "", ""};
+      return {PlatformOutcome::kUnknown, "", ""};
     }
-    return {PlatformEnd::kDone, "", std::to_string(m_next_tag - 1)};
+    return {PlatformOutcome::kDone, "", std::to_string(m_next_tag - 1)};
   }
 
   Head CurrentHead() { return *ParseHead(Get(kHeadKey).m_value); }
@@ -73,11 +73,11 @@
   std::map<std::string, std::pair<std::string, int>> m_values;
   int m_next_tag = 1;
   bool m_down = false;
-  int m_lose_head_answers = 0;
-  int m_drop_head_writes = 0;
+  int m_lost_head_responses = 0;
+  int m_lost_head_writes = 0;
   bool m_down_after_loss = false;
   /// Runs once, just before the next write of the head.
-  std::function<void()> m_before_head;
+  std::function<void()> m_before_head_write;
 };
 
 std::unique_ptr<MemoryPlatform> g_platform;
@@ -126,8 +126,8 @@
   cr_assert_eq(g_platform->CurrentHead().m_version.Get(), 1);
 }
 
-// Two operators change the same file from the same version. The second is
-// told, with both versions; nothing of the first is lost.
+// Two operators change the same file from the same version. The second gets a
+// conflict with both versions; the first one's change is not lost.
 Test(Publish, SameFileChangedByBoth_SecondApplies_Conflict) {
   const Head base = g_platform->CurrentHead();
   Apply(Folder(kPolicyB), base, "mine");
@@ -139,8 +139,8 @@
   cr_assert_eq(conflict.m_current.Get(), 2);
 }
 
-// Two operators change different files: both changes are in force at the end.
-Test(Publish, DifferentFiles_SecondApplies_BothAreIn) {
+// Two operators change different files: both changes end up in force.
+Test(Publish, DifferentFiles_SecondApplies_BothInForce) {
   const Head base = g_platform->CurrentHead();
   Apply(Folder(kPolicyB), base, "mine");
   ConfigFiles theirs = Folder(kPolicyA);
@@ -152,10 +152,10 @@
   cr_assert_eq(head.m_files[1].m_digest, DigestOf(kPolicyB));
 }
 
-// The other operator's write comes between our test and our write.
-Test(Publish, RaceAtTheHead_DifferentFiles_PlansAnew) {
+// Another operator writes the head between our plan and our write.
+Test(Publish, HeadRace_DifferentFiles_Replans) {
   const Head base = g_platform->CurrentHead();
-  g_platform->m_before_head = [&] {
+  g_platform->m_before_head_write = [&] {
     ConfigFiles other = Folder(kPolicyA);
     other.push_back({"30.json", R"({"regions": {"east": {}}})"});
     Apply(other, base, "other");
@@ -165,7 +165,7 @@
   cr_assert_eq(g_platform->CurrentHead().m_files.size(), 3);
 }
 
-Test(Publish, FiveOperators_FiveFiles_AllAreIn) {
+Test(Publish, FiveOperators_FiveFiles_AllInForce) {
   const Head base = g_platform->CurrentHead();
   for (int number = 0; number < 5; ++number) {
     ConfigFiles folder = Folder(kPolicyA);
@@ -178,28 +178,28 @@
   cr_assert_eq(g_platform->CurrentHead().m_files.size(), 7);
 }
 
-// The write takes effect and its answer is lost. The operator is told the
-// truth: accepted.
-Test(Publish, HeadAnswerLost_WriteTookEffect_Accepted) {
-  g_platform->m_lose_head_answers = 1;
+// The write takes effect and its response is lost. The command must still
+// report that the change was accepted.
+Test(Publish, HeadResponseLost_WriteTookEffect_Accepted) {
+  g_platform->m_lost_head_responses = 1;
   const auto result =
       Apply(Folder(kPolicyB), g_platform->CurrentHead(), "mine");
   cr_assert_eq(VersionOf(result), 2);
 }
 
-Test(Publish, HeadWriteLost_NeverTookEffect_AcceptedByTheNextTry) {
-  g_platform->m_drop_head_writes = 1;
+Test(Publish, HeadWriteLost_NeverTookEffect_AcceptedByRetry) {
+  g_platform->m_lost_head_writes = 1;
   const auto result =
       Apply(Folder(kPolicyB), g_platform->CurrentHead(), "mine");
   cr_assert_eq(VersionOf(result), 2);
 }
 
-// The answer is lost and the platform is gone. Nobody can know; the operator
-// is told so, and the same command with the id settles it later, without
-// applying anything twice.
-Test(Publish, AnswerLostThenOutage_SettledById_NotAppliedTwice) {
+// The response is lost and the platform becomes unreachable, so the outcome is
+// unknown and reported as such. Repeating the command with the same id later
+// finds the outcome, without applying anything twice.
+Test(Publish, ResponseLostThenOutage_RepeatedWithSameId_NotAppliedTwice) {
   const Head base = g_platform->CurrentHead();
-  g_platform->m_lose_head_answers = 1;
+  g_platform->m_lost_head_responses = 1;
   g_platform->m_down_after_loss = true;
   const auto unknown = Apply(Folder(kPolicyB), base, "mine");
   cr_assert(std::holds_alternative<PublishUnknown>(unknown));
@@ -215,9 +215,9 @@
   cr_assert(std::holds_alternative<PublishUnavailable>(result));
 }
 
-// An operator's folder is older than what others accepted since, in a file
-// that the operator did not touch: theirs stays.
-Test(Publish, StaleFolder_UntouchedFileIsOlder_TheirsStays) {
+// A file that the operator did not change is older in the folder than the
+// version that another operator published since: the newer one is kept.
+Test(Publish, StaleFolder_UntouchedFileIsOlder_HeadFileStays) {
   const Head base = g_platform->CurrentHead();
   Apply(Folder(kPolicyB), base, "mine");
   const auto result = Apply(Folder(kPolicyA), base, "stale");
@@ -226,16 +226,16 @@
                DigestOf(kPolicyB));
 }
 
-// The platform was restored to an older state; entry VMs have seen version 9.
-// The next version must lie above that, or they would refuse it.
-Test(Publish, RestoredPlatform_VmsSawHigher_NewVersionIsAbove) {
+// The platform was restored to an older state, but entry VMs have seen version
+// 9. The next version must be higher, or they would refuse it.
+Test(Publish, RestoredPlatform_VmsSawHigherVersion_NewVersionIsHigher) {
   const auto result = Publish(
       {Folder(kPolicyB), g_platform->CurrentHead(), "mine", ConfigVersion(9)},
       g_platform->Store());
   cr_assert_eq(VersionOf(result), 10);
 }
 
-Test(Publish, ChunkDamaged_OthersFileIsNeeded_UnavailableNotHalf) {
+Test(Publish, ChunkDamaged_OthersFileIsNeeded_Unavailable) {
   const Head base = g_platform->CurrentHead();
   Apply(Folder(kPolicyB), base, "mine");
   g_platform->m_values[kChunkPrefix + DigestOf(kPolicyB)].first = "garbage";
