--- a/src/serve/call_gateway.cc
+++ b/src/serve/call_gateway.cc
@@ -226,7 +226,7 @@
   pending.m_hand_on = m_peers.HandOn(
       action.m_address, request, action.m_time_left + kTimeoutSlack,
       [this, id = action.m_request, attempt = action.m_attempt](
-          PeerEnd end, const proto::HandOnReply& reply) {
+          PeerOutcome end, const proto::HandOnReply& reply) {
         HandOnEnded(id, attempt, end, reply);
       });
 }
@@ -297,7 +297,7 @@
   }
   m_peers.Seen(action.m_address, request, kSeenTimeout,
                [this, id = action.m_request, vm = action.m_vm](
-                   PeerEnd end, const proto::SeenReply& reply) {
+                   PeerOutcome end, const proto::SeenReply& reply) {
                  SeenEnded(id, vm, end, reply);
                });
 }
@@ -322,7 +322,7 @@
 
 void CallGateway::HandOnEnded(RequestId request,
                               AttemptId attempt,
-                              PeerEnd end,
+                              PeerOutcome end,
                               const proto::HandOnReply& reply) {
   m_driver.Clock().Observe(reply.hlc());
   m_attempts.erase(attempt);
@@ -335,7 +335,7 @@
   AttemptEnded event;
   event.m_attempt = attempt;
   event.m_outcome = ClassifyHandOn(end, reply, pending.m_request_id);
-  if (end == PeerEnd::kAnswered && reply.has_slots()) {
+  if (end == PeerOutcome::kAnswered && reply.has_slots()) {
     event.m_slots = FromProto(reply.slots());
     event.m_retry_after = milliseconds(reply.retry_after_ms());
   }
@@ -348,12 +348,12 @@
 
 void CallGateway::SeenEnded(RequestId request,
                             const VmName& vm,
-                            PeerEnd end,
+                            PeerOutcome end,
                             const proto::SeenReply& reply) {
   m_driver.Clock().Observe(reply.hlc());
   KeyState state = KeyState::kUnknown;
   const bool is_valid =
-      end == PeerEnd::kAnswered &&
+      end == PeerOutcome::kAnswered &&
       reply.answer() <= static_cast<uint32_t>(KeyState::kUnknown);
   if (is_valid) {
     state = static_cast<KeyState>(reply.answer());
--- a/src/serve/call_gateway.h
+++ b/src/serve/call_gateway.h
@@ -65,11 +65,11 @@
   void BackendEnded(RequestId request, AttemptId attempt, HttpResult result);
   void HandOnEnded(RequestId request,
                    AttemptId attempt,
-                   PeerEnd end,
+                   PeerOutcome end,
                    const proto::HandOnReply& reply);
   void SeenEnded(RequestId request,
                  const VmName& vm,
-                 PeerEnd end,
+                 PeerOutcome end,
                  const proto::SeenReply& reply);
   /// Sends the response and ends the request. Takes the response by value
   /// because the pending request that may own it is removed.
--- a/src/serve/classify_attempt_func.h
+++ b/src/serve/classify_attempt_func.h
@@ -16,7 +16,7 @@
                              const std::string& request_id);
 
 /// Returns the outcome of an attempt that was forwarded to another entry VM.
-AttemptOutcome ClassifyHandOn(PeerEnd end,
+AttemptOutcome ClassifyHandOn(PeerOutcome end,
                               const proto::HandOnReply& reply,
                               const std::string& request_id);
 
--- a/src/serve/config_sync.cc
+++ b/src/serve/config_sync.cc
@@ -173,8 +173,9 @@
                    [this](const PlatformResult& result) {
                      m_is_querying_platform = false;
                      OnPlatformResponse(result);
-                     const bool is_up = result.m_end == PlatformEnd::kDone ||
-                                        result.m_end == PlatformEnd::kUnchanged;
+                     const bool is_up =
+                         result.m_end == PlatformOutcome::kDone ||
+                         result.m_end == PlatformOutcome::kUnchanged;
                      if (is_up && IsWatcher()) {
                        Watch();
                      }
@@ -199,14 +200,14 @@
     request.add_have(digest);
   }
   m_peers.Config(peer, request,
-                 [this](PeerEnd end, const proto::ConfigReply& reply) {
+                 [this](PeerOutcome end, const proto::ConfigReply& reply) {
                    OnPeerReply(end, reply);
                  });
 }
 
 void ConfigSync::OnPlatformResponse(const PlatformResult& result) {
   switch (result.m_end) {
-    case PlatformEnd::kDone: {
+    case PlatformOutcome::kDone: {
       SetPlatformUp(true);
       m_platform_tag = result.m_tag;
       const auto head = ParseHead(result.m_value);
@@ -218,8 +219,8 @@
       DownloadChunks(*head);
       return;
     }
-    case PlatformEnd::kMissing:
-    case PlatformEnd::kUnchanged:
+    case PlatformOutcome::kMissing:
+    case PlatformOutcome::kUnchanged:
       SetPlatformUp(true);
       return;
     default:
@@ -228,8 +229,8 @@
   }
 }
 
-void ConfigSync::OnPeerReply(PeerEnd end, const proto::ConfigReply& reply) {
-  if (end != PeerEnd::kAnswered || reply.head().empty()) {
+void ConfigSync::OnPeerReply(PeerOutcome end, const proto::ConfigReply& reply) {
+  if (end != PeerOutcome::kAnswered || reply.head().empty()) {
     return;
   }
   const auto head = ParseHead(reply.head());
@@ -285,7 +286,7 @@
       m_platform.Get(
           kChunkPrefix + file.m_digest,
           [this, download, file](const PlatformResult& result) {
-            if (result.m_end != PlatformEnd::kDone ||
+            if (result.m_end != PlatformOutcome::kDone ||
                 DigestOf(result.m_value) != file.m_digest) {
               // The chunk is missing or corrupt: nothing of this head is
               // installed. Without a tag the next watch, started on the next
--- a/src/serve/config_sync.h
+++ b/src/serve/config_sync.h
@@ -66,7 +66,7 @@
   void QueryPeers();
   void QueryPeer(VmAddress peer);
   void OnPlatformResponse(const PlatformResult& result);
-  void OnPeerReply(PeerEnd end, const proto::ConfigReply& reply);
+  void OnPeerReply(PeerOutcome end, const proto::ConfigReply& reply);
   void DownloadChunks(const Head& head);
   void FetchNextChunk(const std::shared_ptr<ChunkDownload>& download);
   void AddCandidate(const Head& head, ConfigFiles files);
--- a/tests/platform_decode_test.cc
+++ b/tests/platform_decode_test.cc
@@ -148,7 +148,7 @@
 // in a loop, so this VM got no further changes from the store.
 Test(PlatformDecode, StoreRead_OneInvalidValue_OthersAreDecoded) {
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response.m_body = R"({"items":[
       {"Key":"servers/a","Value":"%%%","Rev":3},
       {"Key":"servers/b","Value":"eHl6","Rev":4}],
@@ -169,23 +169,23 @@
 
 /// A store response and the outcome that it implies.
 struct StoreCase {
-  FetchEnd m_fetch;
+  FetchOutcome m_fetch;
   int m_status;
   StoreOutcome m_end;
 };
 
 constexpr StoreCase kStoreCases[] = {
-    {FetchEnd::kAnswered, 200, StoreOutcome::kDone},
-    {FetchEnd::kAnswered, 404, StoreOutcome::kMissing},
-    {FetchEnd::kAnswered, 410, StoreOutcome::kHistoryGone},
-    {FetchEnd::kAnswered, 412, StoreOutcome::kConflict},
-    {FetchEnd::kAnswered, 429, StoreOutcome::kRefused},
-    {FetchEnd::kAnswered, 503, StoreOutcome::kRefused},
-    {FetchEnd::kAnswered, 500, StoreOutcome::kUnknown},
-    {FetchEnd::kConnectFailed, 0, StoreOutcome::kRefused},
-    {FetchEnd::kNoAnswer, 0, StoreOutcome::kUnknown},
-    {FetchEnd::kTimedOut, 0, StoreOutcome::kUnknown},
-    {FetchEnd::kTruncated, 200, StoreOutcome::kUnknown}};
+    {FetchOutcome::kAnswered, 200, StoreOutcome::kDone},
+    {FetchOutcome::kAnswered, 404, StoreOutcome::kMissing},
+    {FetchOutcome::kAnswered, 410, StoreOutcome::kHistoryGone},
+    {FetchOutcome::kAnswered, 412, StoreOutcome::kConflict},
+    {FetchOutcome::kAnswered, 429, StoreOutcome::kRefused},
+    {FetchOutcome::kAnswered, 503, StoreOutcome::kRefused},
+    {FetchOutcome::kAnswered, 500, StoreOutcome::kUnknown},
+    {FetchOutcome::kConnectFailed, 0, StoreOutcome::kRefused},
+    {FetchOutcome::kNoAnswer, 0, StoreOutcome::kUnknown},
+    {FetchOutcome::kTimedOut, 0, StoreOutcome::kUnknown},
+    {FetchOutcome::kTruncated, 200, StoreOutcome::kUnknown}};
 
 Test(PlatformDecode, StoreResponse_EachStatus_HasItsOutcome) {
   for (const StoreCase& one : kStoreCases) {
@@ -199,7 +199,7 @@
 
 Test(PlatformDecode, StoreRead_ItemsAndRemovals_AreDecoded) {
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response.m_body =
       R"({"events":[{"Key":"a","Value":"bm9kZS0x","Rev":412,"Created":412,
           "Lease":77120},{"Key":"b","Rev":413,"Deleted":true}],
@@ -213,7 +213,7 @@
 
 Test(PlatformDecode, StoreRead_DamagedBody_CountsAsNoResponse) {
   HttpResult result;
-  result.m_end = FetchEnd::kAnswered;
+  result.m_end = FetchOutcome::kAnswered;
   result.m_response.m_body = R"({"events":[{"Key":"a"}],"StoreRevision":4})";
   cr_assert_eq(DecodeRead(result, "events").m_end, StoreOutcome::kUnknown);
 }
