--- a/standin/backend_server.cc
+++ b/standin/backend_server.cc
@@ -1,8 +1,8 @@
 /// @file backend_server.cc Stand-in for backend servers.
 ///
-/// One process plays many servers, each on an address of its own: slots,
-/// service time, cold start, shedding, cancellation and deadlines. It counts
-/// runs per key. See docs/INTERFACE.md.
+/// One process simulates many servers, each on its own address, with slots,
+/// service time, cold start, load shedding, cancellation and deadlines. It
+/// counts the runs of each request key. See docs/INTERFACE.md.
 
 #include <asio.hpp>
 #include <fstream>
@@ -22,19 +22,21 @@
 using nlohmann::json;
 using Clock = std::chrono::steady_clock;
 
-/// How one server behaves.
+/// Behaviour of one simulated server, as read from the JSON file.
 struct ServerSpec {
   std::string m_name;
   std::string m_ip;
   uint16_t m_port = 0;
   uint32_t m_slots = 1;
   double m_run_ms = 20;
-  /// For this long after the start, runs take m_cold_factor times as long.
+  /// Cold start: for this long after the start, requests run m_cold_factor
+  /// times as long.
   double m_cold_ms = 0;
   double m_cold_factor = 1;
 };
 
-/// One server.
+/// One simulated server; it runs at most m_slots requests at a time and
+/// rejects further ones with 503.
 class BackendStandin {
  public:
   BackendStandin(asio::io_context& io, ServerSpec spec, uint64_t seed)
@@ -53,7 +55,7 @@
             [this](uint64_t connection) { Cancel(connection); }) {}
 
  private:
-  /// A request that runs.
+  /// A running request.
   struct Run {
     HttpRequest m_request;
     HttpReply m_reply;
@@ -85,8 +87,8 @@
       ++m_runs_by_key[key];
     }
     const uint64_t connection = request.m_connection;
-    const auto runs_for = RunTime(request);
-    auto timer = std::make_shared<asio::steady_timer>(m_io, runs_for);
+    const auto run_time = RunTime(request);
+    auto timer = std::make_shared<asio::steady_timer>(m_io, run_time);
     m_runs[connection] = {std::move(request), std::move(reply), timer};
     m_peak = std::max(m_peak, m_runs.size());
     timer->async_wait([this, connection, id](std::error_code error) {
@@ -119,17 +121,17 @@
     }
     const Run run = std::move(it->second);
     m_runs.erase(it);
-    HttpResponse answer;
-    answer.m_headers.emplace_back("sorrelplank-request-id", id);
-    answer.m_body = json{
+    HttpResponse response;
+    response.m_headers.emplace_back("sorrelplank-request-id", id);
+    response.m_body = json{
         {"echo", run.m_request.m_body},
         {"path", run.m_request.m_path},
         {"server",
          m_spec.m_name}}.dump();
-    run.m_reply(answer);
+    run.m_reply(response);
   }
 
-  /// The other side closed its connection: the run is cancelled.
+  /// Cancels the running request of a connection that the peer closed.
   void Cancel(uint64_t connection) {
     const auto it = m_runs.find(connection);
     if (it == m_runs.end()) {
--- a/standin/demo.cc
+++ b/standin/demo.cc
@@ -1,4 +1,5 @@
-/// @file demo.cc The main job, end to end, on one machine.
+/// @file demo.cc Demonstration: a deployment on loopback serves requests while
+/// an entry VM is killed and a backend server is drained.
 
 #include <csignal>
 #include <cstring>
@@ -15,12 +16,13 @@
 namespace {
 
 constexpr Duration kLoadTime = seconds(10);
-/// A third of the capacity, so that one entry VM less is no shortage.
+/// A third of the capacity: the load still fits after one entry VM is killed.
 constexpr double kLoadShare = 0.35;
 constexpr uint64_t kSeed = 1;
 
-/// Marks the first backend server as leaving, in a file of its own.
-void DrainOne(Fleet& fleet) {
+/// Drains the first backend server: marks it as leaving in a separate
+/// configuration file and applies the folder.
+void DrainFirstBackend(Fleet& fleet) {
   const std::string& name = fleet.Config().m_backends.front().m_name;
   const nlohmann::json change = {
       {"backend_servers", {{name, {{"leaving", true}}}}}};
@@ -29,7 +31,8 @@
       {"apply", fleet.Folder(), "--platform", Fleet::PlatformAddress()});
   std::cout << "demo: drain " << name << ": " << output;
   if (exit != 0) {
-    throw std::runtime_error("apply of the drain failed");
+    throw std::runtime_error(
+        "applying the configuration that drains a backend server failed");
   }
 }
 
@@ -44,7 +47,7 @@
     names.push_back(vm.m_name);
   }
   if (!fleet.WaitReady(names, seconds(20))) {
-    std::cerr << "demo: entry VMs did not become ready\n";
+    std::cerr << "demo: entry VMs were not ready within 20 s\n";
     return 1;
   }
   std::cout << "demo: all ready; sending requests for 10 s\n";
@@ -55,7 +58,7 @@
       fleet.Signal(names.front(), SIGKILL);
     }
     if (second == 6) {
-      DrainOne(fleet);
+      DrainFirstBackend(fleet);
     }
   });
   load.CheckRuns(fleet.BackendStats());
--- a/standin/fleet.cc
+++ b/standin/fleet.cc
@@ -1,4 +1,4 @@
-/// @file fleet.cc Processes of a deployment on loopback.
+/// @file fleet.cc Starts, signals and queries the processes of a deployment.
 
 #include "standin/fleet.h"
 
@@ -42,7 +42,8 @@
   return std::move(std::get<Snapshot>(parsed));
 }
 
-/// Entry VMs of the folder with loopback addresses, 127.30.PLACE.NUMBER.
+/// The entry VMs of the configuration folder, with loopback addresses
+/// 127.30.PLACE.NUMBER.
 std::vector<FleetVm> ListVms(const std::string& folder,
                              const Snapshot& config) {
   std::vector<FleetVm> vms;
@@ -73,10 +74,10 @@
     : m_binaries(std::move(binaries)) {
   char work[] = "/tmp/sorrelplank-XXXXXX";
   if (mkdtemp(work) == nullptr) {
-    throw std::runtime_error("no folder for temporary files");
+    throw std::runtime_error("cannot create a temporary folder");
   }
-  m_work = work;
-  m_folder = m_work + "/config";
+  m_work_folder = work;
+  m_folder = m_work_folder + "/config";
   fs::copy(folder, m_folder, fs::copy_options::recursive);
   fs::remove(m_folder + "/.sorrelplank-base");
   m_config = ParseFolder(m_folder);
@@ -90,7 +91,7 @@
     waitpid(pid, nullptr, 0);
   }
   std::error_code ignored;
-  fs::remove_all(m_work, ignored);
+  fs::remove_all(m_work_folder, ignored);
 }
 
 void Fleet::SetRunTime(const std::string& service, double run_ms) {
@@ -116,17 +117,17 @@
          {"run_ms", run == m_run_ms.end() ? expected : run->second}});
   }
   for (const auto& [place, specs] : by_place) {
-    const std::string file = m_work + "/backends-" + place + ".json";
+    const std::string file = m_work_folder + "/backends-" + place + ".json";
     std::ofstream(file) << specs.dump();
     Spawn("backends-" + place, {m_binaries + "/standin_backend", file});
   }
 }
 
 void Fleet::StartVm(const std::string& name) {
-  const FleetVm& vm = VmOf(name);
+  const FleetVm& vm = VmByName(name);
   WriteSettings(vm);
   Spawn(name, {m_binaries + "/sorrelplank", "serve", "--settings",
-               m_work + "/" + name + ".json"});
+               m_work_folder + "/" + name + ".json"});
 }
 
 void Fleet::StartAll() {
@@ -146,7 +147,7 @@
 std::pair<int, std::string> Fleet::Run(
     const std::vector<std::string>& arguments) {
   const std::string output =
-      m_work + "/output-" +
+      m_work_folder + "/output-" +
       std::to_string(Clock::now().time_since_epoch().count());
   std::vector<std::string> all = {m_binaries + "/sorrelplank"};
   all.insert(all.end(), arguments.begin(), arguments.end());
@@ -220,7 +221,8 @@
       if (!status.is_object() || !status.value("ready", false)) {
         break;
       }
-      // What is only claimed yet is listed as not dispatchable.
+      // A server that is claimed but not held yet is listed as not
+      // dispatchable.
       const json& held = status["held"];
       const bool holds_all =
           !held.empty() &&
@@ -258,7 +260,7 @@
   return HttpCall("GET", "http://" + PlatformAddress() + "/v1/stats", "");
 }
 
-void Fleet::Cut(const std::string& vm, const std::vector<std::string>& ips) {
+void Fleet::CutOff(const std::string& vm, const std::vector<std::string>& ips) {
   std::string list;
   for (const std::string& ip : ips) {
     list += (list.empty() ? "" : ",") + ip;
@@ -267,7 +269,7 @@
 }
 
 std::string Fleet::OperatorAddress(const std::string& vm) const {
-  return VmOf(vm).m_ip + ":" + std::to_string(kOperatorPort);
+  return VmByName(vm).m_ip + ":" + std::to_string(kOperatorPort);
 }
 
 std::string Fleet::PlatformAddress() {
@@ -276,7 +278,7 @@
 
 void Fleet::Spawn(const std::string& process,
                   const std::vector<std::string>& arguments) {
-  const std::string log = m_work + "/" + process + ".log";
+  const std::string log = m_work_folder + "/" + process + ".log";
   std::vector<std::string> copy = arguments;
   const pid_t pid = fork();
   if (pid == 0) {
@@ -332,16 +334,16 @@
       {"platform", {PlatformAddress()}},
       {"peers", peers},
       {"fault_switch", true}};
-  std::ofstream(m_work + "/" + vm.m_name + ".json") << settings.dump(2);
+  std::ofstream(m_work_folder + "/" + vm.m_name + ".json") << settings.dump(2);
 }
 
-const FleetVm& Fleet::VmOf(const std::string& name) const {
+const FleetVm& Fleet::VmByName(const std::string& name) const {
   for (const FleetVm& vm : m_vms) {
     if (vm.m_name == name) {
       return vm;
     }
   }
-  throw std::runtime_error("no entry VM " + name);
+  throw std::runtime_error("unknown entry VM " + name);
 }
 
 }  // namespace sorrelplank
--- a/standin/fleet.h
+++ b/standin/fleet.h
@@ -16,60 +16,69 @@
 
 namespace sorrelplank {
 
-/// An entry VM of the fleet.
+/// An entry VM of the deployment and its loopback address.
 struct FleetVm {
   std::string m_name;
   std::string m_place;
   std::string m_ip;
 };
 
-/// One deployment: a platform, backend servers and entry VMs. Everything that
-/// it started is stopped by process id when it is destroyed.
+/// The processes of one deployment: the platform stand-in, backend stand-ins
+/// and entry VMs. The destructor kills every process it started, by process
+/// id, and removes the temporary files.
 class Fleet {
  public:
-  /// Binaries: the folder with the programs. Folder: the configuration.
+  /// @param binaries Folder with the programs.
+  /// @param folder Configuration folder; it is copied and not changed. Throws
+  /// std::runtime_error where it is invalid.
   Fleet(std::string binaries, const std::string& folder);
   ~Fleet();
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /// Run time of a service's stand-ins, before Start.
+  /// Sets the run time of a service's backend stand-ins in milliseconds; call
+  /// it before StartBackends. The default is the service's expected run time.
   void SetRunTime(const std::string& service, double run_ms);
 
   void StartPlatform();
   void StartBackends();
   void StartVm(const std::string& name);
-  /// Everything, in that order, and the configuration applied.
+  /// Starts all processes, in the order above, and applies the configuration.
   void StartAll();
 
-  /// Runs sorrelplank with arguments; returns its exit code and output.
+  /// Runs a sorrelplank command to its end; returns the exit code (-1 after a
+  /// signal) and the output.
   std::pair<int, std::string> Run(const std::vector<std::string>& arguments);
-  /// Applies a folder and waits until it is in force.
+  /// Applies a configuration folder and waits until it is in force; returns
+  /// the exit code.
   int Apply(const std::string& folder);
 
   void Signal(const std::string& process, int signal);
-  /// Waits for an exit; the exit code, or -1 after the time limit.
+  /// Waits for a process to end; returns its exit code, 128 if a signal ended
+  /// it, or -1 after the time limit.
   int WaitExit(const std::string& process, Duration limit);
   bool IsRunning(const std::string& process) const;
 
-  /// Waits until every given entry VM is ready and holds backend servers.
+  /// Waits until every given entry VM is ready and may dispatch to all backend
+  /// servers that it holds, one at least.
   bool WaitReady(const std::vector<std::string>& vms, Duration limit);
 
   const std::vector<FleetVm>& Vms() const { return m_vms; }
   const Snapshot& Config() const { return m_config; }
-  /// A copy of the configuration folder that may be changed.
+  /// Copy of the configuration folder, which callers may change.
   const std::string& Folder() const { return m_folder; }
-  const std::string& WorkFolder() const { return m_work; }
+  const std::string& WorkFolder() const { return m_work_folder; }
 
-  /// Counts of every backend stand-in.
+  /// Statistics of every backend stand-in that answers.
   std::vector<nlohmann::json> BackendStats();
-  /// Sets faults of the platform stand-in.
+  /// Sets the faults of the platform stand-in, a JSON object.
   void SetPlatformFaults(const std::string& json);
   std::string PlatformStats();
-  /// Cuts an entry VM off from addresses.
-  void Cut(const std::string& vm, const std::vector<std::string>& ips);
+  /// Cuts an entry VM off from these addresses instead of the previous ones.
+  void CutOff(const std::string& vm, const std::vector<std::string>& ips);
 
-  /// One HTTP request; the body of the answer, empty if there was none.
+  /// Sends one HTTP request; returns the response body, empty without a
+  /// response.
   std::string HttpCall(const std::string& method,
                        const std::string& url,
                        const std::string& body);
@@ -82,11 +91,11 @@
   void Spawn(const std::string& process,
              const std::vector<std::string>& arguments);
   void WriteSettings(const FleetVm& vm);
-  const FleetVm& VmOf(const std::string& name) const;
+  const FleetVm& VmByName(const std::string& name) const;
 
   std::string m_binaries;
   std::string m_folder;
-  std::string m_work;
+  std::string m_work_folder;
   Snapshot m_config;
   std::vector<FleetVm> m_vms;
   std::map<std::string, double> m_run_ms;
--- a/standin/load.cc
+++ b/standin/load.cc
@@ -1,4 +1,4 @@
-/// @file load.cc Callers of a deployment.
+/// @file load.cc Lookups, requests and retries of simulated callers.
 
 #include "standin/load.h"
 
@@ -22,35 +22,35 @@
 constexpr int kCallerPort = 8080;
 constexpr Duration kLookupTimeout = milliseconds(500);
 constexpr Duration kRequestTimeout = seconds(5);
-constexpr size_t kMostSends = 4;
+constexpr size_t kMaxSends = 4;
 
-/// An entry VM as a lookup named it.
-struct NamedVm {
+/// An entry VM in a lookup result.
+struct LookupVm {
   std::string m_id;
   std::string m_address;
 };
 
-/// A lookup answer that a caller keeps.
-struct Kept {
-  std::vector<NamedVm> m_vms;
-  Clock::time_point m_ends{};
+/// A lookup result that a caller caches until its time to live ends.
+struct CachedLookup {
+  std::vector<LookupVm> m_vms;
+  Clock::time_point m_end_time{};
 };
 
-/// One request of one caller.
-struct Sending {
+/// A request of a caller, from the lookup to the last retry.
+struct PendingRequest {
   const ServiceLoad* m_service = nullptr;
   std::string m_client;
   std::string m_key;
   std::string m_body;
   Clock::time_point m_started{};
-  std::vector<NamedVm> m_vms;
+  std::vector<LookupVm> m_vms;
   size_t m_next_vm = 0;
   std::string m_tried;
   size_t m_sends = 0;
 };
-using SendingPtr = std::shared_ptr<Sending>;
+using PendingRequestPtr = std::shared_ptr<PendingRequest>;
 
-std::string HeaderOf(const HttpResponse& response, const std::string& name) {
+std::string HeaderValue(const HttpResponse& response, const std::string& name) {
   for (const auto& [field, value] : response.m_headers) {
     if (field == name) {
       return value;
@@ -59,13 +59,13 @@
   return "";
 }
 
-Duration Percentile(std::vector<Duration> values, double share) {
+Duration Percentile(std::vector<Duration> values, double fraction) {
   if (values.empty()) {
     return Duration::zero();
   }
   std::sort(values.begin(), values.end());
   const auto at =
-      static_cast<size_t>(share * static_cast<double>(values.size() - 1));
+      static_cast<size_t>(fraction * static_cast<double>(values.size() - 1));
   return values[at];
 }
 
@@ -80,11 +80,11 @@
         m_client(m_io) {}
 
   void RunFor(Duration duration, const std::function<void(int)>& hook) {
-    m_ends = Clock::now() + duration;
+    m_end_time = Clock::now() + duration;
     for (const ServiceLoad& service : m_services) {
       auto timer = std::make_shared<asio::steady_timer>(m_io);
       timer->expires_after(milliseconds(0));
-      Arm(service, timer);
+      ScheduleNext(service, timer);
     }
     asio::steady_timer second(m_io);
     int count = 0;
@@ -92,15 +92,16 @@
       second.expires_after(seconds(1));
       second.async_wait([&](std::error_code) {
         hook(++count);
-        if (Clock::now() < m_ends) {
+        if (Clock::now() < m_end_time) {
           tick();
         }
       });
     };
     tick();
-    const auto gives_up = m_ends + kRequestTimeout * 2;
+    const auto give_up_time = m_end_time + kRequestTimeout * 2;
     m_io.restart();
-    while (Clock::now() < m_ends || (m_open > 0 && Clock::now() < gives_up)) {
+    while (Clock::now() < m_end_time ||
+           (m_open_requests > 0 && Clock::now() < give_up_time)) {
       m_io.run_one_for(std::chrono::milliseconds(20));
     }
   }
@@ -112,7 +113,7 @@
         runs[key] += count.get<uint64_t>();
       }
     }
-    for (const auto& [key, end] : m_ends_by_key) {
+    for (const auto& [key, end] : m_outcomes_by_key) {
       ServiceTally& tally = m_tallies[end.m_service];
       const auto it = runs.find(key);
       const uint64_t count = it == runs.end() ? 0 : it->second;
@@ -128,58 +129,58 @@
   }
 
  private:
-  /// How a keyed request ended.
-  struct KeyEnd {
+  /// Verdict that the caller of a request with a key received.
+  struct KeyOutcome {
     std::string m_service;
     std::string m_verdict;
   };
 
-  void Arm(const ServiceLoad& service,
-           const std::shared_ptr<asio::steady_timer>& timer) {
+  void ScheduleNext(const ServiceLoad& service,
+                    const std::shared_ptr<asio::steady_timer>& timer) {
     std::exponential_distribution<double> gap(service.m_per_second);
     timer->expires_at(timer->expiry() +
                       std::chrono::duration_cast<Clock::duration>(
                           std::chrono::duration<double>(gap(m_random))));
     timer->async_wait([this, &service, timer](std::error_code error) {
-      if (error || Clock::now() >= m_ends) {
+      if (error || Clock::now() >= m_end_time) {
         return;
       }
-      Begin(service);
-      Arm(service, timer);
+      StartRequest(service);
+      ScheduleNext(service, timer);
     });
   }
 
   std::string PickClient() {
     std::uniform_int_distribution<int> byte(0, 255);
     std::uniform_int_distribution<int> place(1, 6);
-    // Few distinct callers, so that their kept lookups are used again.
+    // Few distinct caller addresses, so that cached lookups are reused.
     return "10." + std::to_string(place(m_random)) + "." +
            std::to_string(byte(m_random) % 32) + ".7";
   }
 
-  void Begin(const ServiceLoad& service) {
-    auto sending = std::make_shared<Sending>();
-    sending->m_service = &service;
-    sending->m_client = PickClient();
-    const uint64_t number = m_next++;
-    sending->m_key = "k" + std::to_string(number);
-    sending->m_body =
-        "request " + std::to_string(number) + " of " + sending->m_client;
-    sending->m_started = Clock::now();
-    ++m_open;
+  void StartRequest(const ServiceLoad& service) {
+    auto request = std::make_shared<PendingRequest>();
+    request->m_service = &service;
+    request->m_client = PickClient();
+    const uint64_t number = m_next_number++;
+    request->m_key = "k" + std::to_string(number);
+    request->m_body =
+        "request " + std::to_string(number) + " of " + request->m_client;
+    request->m_started = Clock::now();
+    ++m_open_requests;
     ++m_tallies[service.m_service].m_sent;
-    const Kept& kept = m_lookups[sending->m_client];
-    if (kept.m_ends > Clock::now()) {
-      sending->m_vms = kept.m_vms;
-      Send(sending);
+    const CachedLookup& cached = m_cached_lookups[request->m_client];
+    if (cached.m_end_time > Clock::now()) {
+      request->m_vms = cached.m_vms;
+      Send(request);
       return;
     }
-    Lookup(sending, 0);
+    Lookup(request, 0);
   }
 
-  void Lookup(const SendingPtr& sending, size_t tries) {
+  void Lookup(const PendingRequestPtr& request, size_t tries) {
     if (tries > 6) {
-      End(sending, "not_run", "no_lookup", false);
+      Finish(request, "not_run", "no_lookup", false);
       return;
     }
     const auto& vms = m_fleet.Vms();
@@ -187,100 +188,102 @@
     HttpFetch fetch;
     fetch.m_url = "http://" + vms[pick(m_random)].m_ip + ":" +
                   std::to_string(kCallerPort) +
-                  "/v1/lookup?client=" + sending->m_client;
+                  "/v1/lookup?client=" + request->m_client;
     fetch.m_timeout = kLookupTimeout;
-    m_client.Start(std::move(fetch), [this, sending,
+    m_client.Start(std::move(fetch), [this, request,
                                       tries](const HttpResult& result) {
       const json answer = json::parse(result.m_response.m_body, nullptr, false);
       if (result.m_end != FetchEnd::kAnswered ||
           result.m_response.m_status != 200 || answer["entry_vms"].empty()) {
-        Lookup(sending, tries + 1);
+        Lookup(request, tries + 1);
         return;
       }
-      Kept& kept = m_lookups[sending->m_client];
-      kept.m_vms.clear();
+      CachedLookup& cached = m_cached_lookups[request->m_client];
+      cached.m_vms.clear();
       for (const json& vm : answer["entry_vms"]) {
-        kept.m_vms.push_back(
+        cached.m_vms.push_back(
             {vm["id"], vm["ip"].get<std::string>() + ":" + vm["port"].dump()});
       }
-      kept.m_ends = Clock::now() + milliseconds(answer["ttl_ms"].get<int>());
-      sending->m_vms = kept.m_vms;
-      Send(sending);
+      cached.m_end_time =
+          Clock::now() + milliseconds(answer["ttl_ms"].get<int>());
+      request->m_vms = cached.m_vms;
+      Send(request);
     });
   }
 
-  void Send(const SendingPtr& sending) {
-    const NamedVm& vm =
-        sending->m_vms[sending->m_next_vm % sending->m_vms.size()];
+  void Send(const PendingRequestPtr& request) {
+    const LookupVm& vm =
+        request->m_vms[request->m_next_vm % request->m_vms.size()];
     HttpFetch fetch;
     fetch.m_method = "POST";
     fetch.m_url = "http://" + vm.m_address + "/v1/call/" +
-                  sending->m_service->m_service + "/records";
-    fetch.m_headers = {{"sorrelplank-client", sending->m_client}};
-    if (!sending->m_service->m_idempotent) {
-      fetch.m_headers.emplace_back("sorrelplank-key", sending->m_key);
-      fetch.m_headers.emplace_back("sorrelplank-tried", sending->m_tried.empty()
+                  request->m_service->m_service + "/records";
+    fetch.m_headers = {{"sorrelplank-client", request->m_client}};
+    if (!request->m_service->m_idempotent) {
+      fetch.m_headers.emplace_back("sorrelplank-key", request->m_key);
+      fetch.m_headers.emplace_back("sorrelplank-tried", request->m_tried.empty()
                                                             ? "none"
-                                                            : sending->m_tried);
+                                                            : request->m_tried);
       fetch.m_fresh_connection = true;
     }
-    fetch.m_body = sending->m_body;
+    fetch.m_body = request->m_body;
     fetch.m_timeout = kRequestTimeout;
-    ++sending->m_sends;
+    ++request->m_sends;
     m_client.Start(std::move(fetch),
-                   [this, sending, id = vm.m_id](const HttpResult& result) {
-                     Judge(sending, id, result);
+                   [this, request, id = vm.m_id](const HttpResult& result) {
+                     ClassifyResponse(request, id, result);
                    });
   }
 
-  void Judge(const SendingPtr& sending,
-             const std::string& vm_id,
-             const HttpResult& result) {
+  void ClassifyResponse(const PendingRequestPtr& request,
+                        const std::string& vm_id,
+                        const HttpResult& result) {
     if (result.m_end != FetchEnd::kAnswered) {
       if (result.m_end != FetchEnd::kConnectFailed) {
-        sending->m_tried += (sending->m_tried.empty() ? "" : ",") + vm_id;
+        request->m_tried += (request->m_tried.empty() ? "" : ",") + vm_id;
       }
-      m_lookups.erase(sending->m_client);
-      ++sending->m_next_vm;
-      if (sending->m_sends < kMostSends) {
-        Send(sending);
+      m_cached_lookups.erase(request->m_client);
+      ++request->m_next_vm;
+      if (request->m_sends < kMaxSends) {
+        Send(request);
         return;
       }
-      End(sending, sending->m_tried.empty() ? "not_run" : "may_have_run",
-          "no_answer", false);
+      Finish(request, request->m_tried.empty() ? "not_run" : "may_have_run",
+             "no_answer", false);
       return;
     }
     const std::string verdict =
-        HeaderOf(result.m_response, "sorrelplank-verdict");
+        HeaderValue(result.m_response, "sorrelplank-verdict");
     const std::string reason =
-        HeaderOf(result.m_response, "sorrelplank-reason");
+        HeaderValue(result.m_response, "sorrelplank-reason");
     if (verdict == "ran" && result.m_response.m_status == 200) {
       const json answer = json::parse(result.m_response.m_body, nullptr, false);
       const bool is_own =
-          answer.is_object() && answer.value("echo", "") == sending->m_body;
-      End(sending, verdict, reason, !is_own);
+          answer.is_object() && answer.value("echo", "") == request->m_body;
+      Finish(request, verdict, reason, !is_own);
       return;
     }
-    End(sending, verdict.empty() ? "may_have_run" : verdict, reason, false);
+    Finish(request, verdict.empty() ? "may_have_run" : verdict, reason, false);
   }
 
-  void End(const SendingPtr& sending,
-           const std::string& verdict,
-           const std::string& reason,
-           bool is_wrong) {
-    --m_open;
-    ServiceTally& tally = m_tallies[sending->m_service->m_service];
+  void Finish(const PendingRequestPtr& request,
+              const std::string& verdict,
+              const std::string& reason,
+              bool is_wrong) {
+    --m_open_requests;
+    ServiceTally& tally = m_tallies[request->m_service->m_service];
     tally.m_wrong += is_wrong ? 1 : 0;
     if (verdict == "ran") {
       ++tally.m_answered;
       tally.m_latencies.push_back(std::chrono::duration_cast<Duration>(
-          Clock::now() - sending->m_started));
+          Clock::now() - request->m_started));
     } else {
       ++(verdict == "not_run" ? tally.m_not_run : tally.m_may_have_run);
       ++tally.m_reasons[reason];
     }
-    if (!sending->m_service->m_idempotent) {
-      m_ends_by_key[sending->m_key] = {sending->m_service->m_service, verdict};
+    if (!request->m_service->m_idempotent) {
+      m_outcomes_by_key[request->m_key] = {request->m_service->m_service,
+                                           verdict};
     }
   }
 
@@ -289,15 +292,15 @@
   std::mt19937_64 m_random;
   asio::io_context m_io{1};
   HttpClient m_client;
-  Clock::time_point m_ends{};
-  uint64_t m_next = 1;
-  uint64_t m_open = 0;
-  std::map<std::string, Kept> m_lookups;
+  Clock::time_point m_end_time{};
+  uint64_t m_next_number = 1;
+  uint64_t m_open_requests = 0;
+  std::map<std::string, CachedLookup> m_cached_lookups;
   std::map<std::string, ServiceTally> m_tallies;
-  std::map<std::string, KeyEnd> m_ends_by_key;
+  std::map<std::string, KeyOutcome> m_outcomes_by_key;
 };
 
-std::vector<ServiceLoad> MakeLoad(const Snapshot& config, double share) {
+std::vector<ServiceLoad> MakeLoad(const Snapshot& config, double fraction) {
   std::vector<ServiceLoad> load;
   for (size_t at = 0; at < config.m_services.size(); ++at) {
     const Service& service = config.m_services[at];
@@ -307,7 +310,7 @@
     }
     load.push_back(
         {service.m_name, service.m_idempotent,
-         share * slots * 1000 / ToMilliseconds(service.m_expected_run)});
+         fraction * slots * 1000 / ToMilliseconds(service.m_expected_run)});
   }
   return load;
 }
--- a/standin/prove.cc
+++ b/standin/prove.cc
@@ -1,7 +1,8 @@
-/// @file prove.cc Failure runs with real processes on loopback.
+/// @file prove.cc Fault injection tests with real processes on loopback.
 ///
-/// Each case starts a deployment of its own, sends load, causes a failure and
-/// compares what callers were told with what backend servers ran.
+/// Each case starts its own deployment, generates load, injects a fault and
+/// compares the verdicts that callers received with the runs that backend
+/// servers counted.
 
 #include <algorithm>
 #include <asio.hpp>
@@ -27,12 +28,12 @@
 constexpr double kLoadShare = 0.25;
 constexpr uint64_t kSeed = 1;
 
-/// What a case may use, and what it found.
+/// The deployment of a case and the problems found.
 struct Context {
   Fleet& m_fleet;
   std::vector<std::string> m_problems;
-  /// Set by the hook where the case needs it.
-  std::string m_note;
+  /// Backend server that DrainFirstBackend drained; empty: none.
+  std::string m_drained_server;
 
   void Expect(bool holds, const std::string& problem) {
     if (!holds) {
@@ -41,13 +42,14 @@
   }
 };
 
-/// One failure and when it happens.
+/// A fault injection test; m_on_second injects the fault at some second of the
+/// load.
 struct Case {
   const char* m_name;
   int m_seconds;
-  bool m_is_short;
-  std::function<void(Context&, int second)> m_hook;
-  std::function<void(Context&, const ServiceTally&)> m_check;
+  bool m_is_in_short_set;
+  std::function<void(Context&, int second)> m_on_second;
+  std::function<void(Context&, const ServiceTally&)> m_check_result;
 };
 
 void WriteFile(const std::string& path, const std::string& text) {
@@ -77,16 +79,17 @@
   return ips;
 }
 
-/// Cuts two failure domains off from each other, both ways.
-void CutDomains(Fleet& fleet, const std::string& a, const std::string& b) {
+/// Cuts the entry VMs of two places off from each other, in both directions.
+void PartitionPlaces(Fleet& fleet, const std::string& a, const std::string& b) {
   for (const FleetVm& vm : fleet.Vms()) {
     if (vm.m_place == a || vm.m_place == b) {
-      fleet.Cut(vm.m_name, IpsOfPlace(fleet, vm.m_place == a ? b : a));
+      fleet.CutOff(vm.m_name, IpsOfPlace(fleet, vm.m_place == a ? b : a));
     }
   }
 }
 
-/// Sends raw bytes to a port and returns what comes back.
+/// Sends raw bytes to a port and returns what arrives until the connection
+/// ends, within 700 ms.
 std::string SendRaw(const std::string& ip, int port, const std::string& text) {
   asio::io_context io;
   asio::ip::tcp::socket socket(io);
@@ -119,8 +122,8 @@
 
 void SendBadInput(Context& context) {
   const FleetVm& vm = context.m_fleet.Vms().front();
-  constexpr int kCaller = 8080;
-  constexpr int kPeer = 7070;
+  constexpr int kCallerPort = 8080;
+  constexpr int kPeerPort = 7070;
   const std::string big(5U << 20U, 'x');
   const std::pair<std::string, const char*> cases[] = {
       {"nonsense\r\n\r\n", ""},
@@ -141,13 +144,13 @@
        ""},
   };
   for (const auto& [text, expected] : cases) {
-    const std::string answer = SendRaw(vm.m_ip, kCaller, text);
+    const std::string answer = SendRaw(vm.m_ip, kCallerPort, text);
     context.Expect(answer.find(expected) != std::string::npos,
                    "bad input \"" + text.substr(0, 40) + "\" was answered \"" +
                        answer.substr(0, 40) + "\"");
   }
-  SendRaw(vm.m_ip, kPeer, "this is no gRPC at all\r\n\r\n");
-  SendRaw(vm.m_ip, kPeer,
+  SendRaw(vm.m_ip, kPeerPort, "this is no gRPC at all\r\n\r\n");
+  SendRaw(vm.m_ip, kPeerPort,
           std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n") +
               std::string(64, '\xff'));
   context.Expect(VersionOf(context.m_fleet, vm.m_name) > 0,
@@ -175,24 +178,26 @@
   }
   for (const int exit : exits) {
     context.Expect(exit == 0,
-                   "a racing operator's disjoint change was "
-                   "refused, exit " +
+                   "a concurrent operator's disjoint change was "
+                   "refused, exit code " +
                        std::to_string(exit));
   }
 }
 
-void DrainOne(Context& context) {
+void DrainFirstBackend(Context& context) {
   Fleet& fleet = context.m_fleet;
   const std::string& name = fleet.Config().m_backends.front().m_name;
   WriteFile(fleet.Folder() + "/95-leaving.json",
             R"({"backend_servers":{")" + name + R"(":{"leaving":true}}})");
-  // Not waiting: an entry VM that is cut off would hold the callers up too.
+  // Without --wait: an entry VM that is cut off never confirms the change, and
+  // waiting here would stop the load generator too.
   const int exit = fleet
                        .Run({"apply", fleet.Folder(), "--platform",
                              Fleet::PlatformAddress()})
                        .first;
-  context.Expect(exit == 0, "the drain was refused");
-  context.m_note = name;
+  context.Expect(exit == 0,
+                 "the configuration that drains a server was refused");
+  context.m_drained_server = name;
 }
 
 std::vector<Case> AllCases() {
@@ -202,7 +207,7 @@
   cases.push_back({"calm", 5, false, nothing,
                    [](Context& context, const ServiceTally& total) {
                      context.Expect(total.m_answered == total.m_sent,
-                                    "not everything was answered");
+                                    "not all requests were answered");
                    }});
   cases.push_back({"bad_input", 4, true,
                    [](Context& context, int second) {
@@ -211,8 +216,9 @@
                      }
                    },
                    [](Context& context, const ServiceTally& total) {
-                     context.Expect(total.m_answered == total.m_sent,
-                                    "somebody else's request was touched");
+                     context.Expect(
+                         total.m_answered == total.m_sent,
+                         "bad input affected requests of other callers");
                    }});
   cases.push_back({"kill_entry_vm", 8, true,
                    [](Context& context, int second) {
@@ -232,10 +238,11 @@
                    [](Context& context, const ServiceTally& total) {
                      const int exit = context.m_fleet.WaitExit(
                          context.m_fleet.Vms().front().m_name, seconds(10));
-                     context.Expect(exit == 0, "the stop ended with exit " +
-                                                   std::to_string(exit));
+                     context.Expect(exit == 0,
+                                    "the planned stop ended with exit code " +
+                                        std::to_string(exit));
                      context.Expect(total.m_may_have_run == 0,
-                                    "a planned stop cut off a request");
+                                    "a planned stop interrupted a request");
                    }});
   cases.push_back({"freeze", 14, false,
                    [](Context& context, int second) {
@@ -254,10 +261,10 @@
                      const std::string& a = fleet.Config().m_places[0].m_name;
                      const std::string& b = fleet.Config().m_places[2].m_name;
                      if (second == 2) {
-                       CutDomains(fleet, a, b);
+                       PartitionPlaces(fleet, a, b);
                      } else if (second == 8) {
                        for (const FleetVm& vm : fleet.Vms()) {
-                         fleet.Cut(vm.m_name, {"127.99.99.99"});
+                         fleet.CutOff(vm.m_name, {"127.99.99.99"});
                        }
                      }
                    },
@@ -275,24 +282,26 @@
          }
          for (const FleetVm& vm : fleet.Vms()) {
            if (vm.m_place == place && second == 2) {
-             fleet.Cut(vm.m_name, others);
+             fleet.CutOff(vm.m_name, others);
            } else if (second == 3) {
              if (vm.m_place != place) {
-               fleet.Cut(vm.m_name, IpsOfPlace(fleet, place));
+               fleet.CutOff(vm.m_name, IpsOfPlace(fleet, place));
              }
            } else if (second == 8) {
-             fleet.Cut(vm.m_name, {"127.99.99.99"});
+             fleet.CutOff(vm.m_name, {"127.99.99.99"});
            }
          }
          if (second == 5) {
-           DrainOne(context);
+           DrainFirstBackend(context);
          }
        },
        [](Context& context, const ServiceTally&) {
          std::this_thread::sleep_for(std::chrono::seconds(3));
          for (const FleetVm& vm : context.m_fleet.Vms()) {
-           context.Expect(VersionOf(context.m_fleet, vm.m_name) == 2,
-                          vm.m_name + " did not catch up after the cut");
+           context.Expect(
+               VersionOf(context.m_fleet, vm.m_name) == 2,
+               vm.m_name +
+                   " is not on version 2 after its connections were restored");
          }
        }});
   cases.push_back(
@@ -304,16 +313,16 @@
        },
        [](Context& context, const ServiceTally& total) {
          context.Expect(total.m_answered == total.m_sent,
-                        "an outage of the platform was felt by callers");
-         DrainOne(context);
+                        "callers were affected by the platform outage");
+         DrainFirstBackend(context);
        }});
   cases.push_back(
       {"apply_answer_lost", 6, false,
        [](Context& context, int second) {
          if (second == 2) {
-           // The chunk's answer and the head's are lost.
+           // Loses the responses to the writes of the chunk and of the head.
            context.m_fleet.SetPlatformFaults(R"({"lose_answers":2})");
-           DrainOne(context);
+           DrainFirstBackend(context);
          }
        },
        [](Context& context, const ServiceTally&) {
@@ -322,22 +331,22 @@
                           vm.m_name + " does not run version 2");
          }
        }});
-  cases.push_back({"operators_race", 8, false,
-                   [](Context& context, int second) {
-                     if (second == 2) {
-                       RaceOperators(context);
-                     }
-                   },
-                   [](Context& context, const ServiceTally& total) {
-                     std::this_thread::sleep_for(std::chrono::seconds(2));
-                     for (const FleetVm& vm : context.m_fleet.Vms()) {
-                       context.Expect(
-                           VersionOf(context.m_fleet, vm.m_name) == 5,
-                           vm.m_name + " does not run version 5");
-                     }
-                     context.Expect(total.m_answered == total.m_sent,
-                                    "the race was felt by callers");
-                   }});
+  cases.push_back(
+      {"operators_race", 8, false,
+       [](Context& context, int second) {
+         if (second == 2) {
+           RaceOperators(context);
+         }
+       },
+       [](Context& context, const ServiceTally& total) {
+         std::this_thread::sleep_for(std::chrono::seconds(2));
+         for (const FleetVm& vm : context.m_fleet.Vms()) {
+           context.Expect(VersionOf(context.m_fleet, vm.m_name) == 5,
+                          vm.m_name + " does not run version 5");
+         }
+         context.Expect(total.m_answered == total.m_sent,
+                        "callers were affected by the concurrent operators");
+       }});
   cases.push_back({"domain_killed_in_outage", 12, false,
                    [](Context& context, int second) {
                      if (second == 2) {
@@ -356,15 +365,15 @@
   return cases;
 }
 
-void CheckServers(Context& context, const std::vector<json>& stats) {
+void CheckServerLimits(Context& context, const std::vector<json>& stats) {
   for (const json& server : stats) {
     const auto peak = server["peak"].get<uint64_t>();
     const auto slots = server["slots"].get<uint64_t>();
     const auto shed = server["shed"].get<uint64_t>();
     context.Expect(peak <= slots && shed == 0,
                    server["name"].get<std::string>() +
-                       " was pushed past its slots (" + std::to_string(shed) +
-                       " refused)");
+                       " received more requests than it has slots (" +
+                       std::to_string(shed) + " refused)");
   }
 }
 
@@ -378,20 +387,22 @@
     names.push_back(vm.m_name);
   }
   Context context{fleet, {}, ""};
-  context.Expect(fleet.WaitReady(names, seconds(30)), "not ready in 30 s");
+  context.Expect(fleet.WaitReady(names, seconds(30)),
+                 "entry VMs were not ready within 30 s");
   std::this_thread::sleep_for(std::chrono::seconds(2));
   Load load(fleet, MakeLoad(fleet.Config(), kLoadShare), kSeed);
   load.RunFor(seconds(test.m_seconds),
-              [&](int second) { test.m_hook(context, second); });
+              [&](int second) { test.m_on_second(context, second); });
   const ServiceTally total = load.Total();
-  test.m_check(context, total);
+  test.m_check_result(context, total);
   const std::vector<json> stats = fleet.BackendStats();
   load.CheckRuns(stats);
-  CheckServers(context, stats);
+  CheckServerLimits(context, stats);
   const ServiceTally checked = load.Total();
-  context.Expect(checked.m_wrong == 0, "a caller got a wrong answer");
-  context.Expect(checked.m_doubled == 0, "a request ran twice");
-  context.Expect(checked.m_lost == 0, "a verdict was not true");
+  context.Expect(checked.m_wrong == 0, "a caller received a wrong response");
+  context.Expect(checked.m_doubled == 0,
+                 "a request with a key ran more than once");
+  context.Expect(checked.m_lost == 0, "a caller received a false verdict");
   std::cout << "prove: " << test.m_name
             << (context.m_problems.empty() ? " held" : " BROKEN")
             << " sent=" << checked.m_sent << " answered=" << checked.m_answered
@@ -413,7 +424,7 @@
   int broken = 0;
   for (const Case& test : AllCases()) {
     const bool is_wanted = which == "all" ||
-                           (which == "short" && test.m_is_short) ||
+                           (which == "short" && test.m_is_in_short_set) ||
                            which == test.m_name;
     if (is_wanted) {
       ++(RunCase(test, binaries.string(), folder) ? held : broken);
--- a/standin/store.cc
+++ b/standin/store.cc
@@ -1,4 +1,4 @@
-/// @file store.cc Runs the stand-in store as a process.
+/// @file store.cc Program that serves the stand-in store over HTTP.
 
 #include <asio.hpp>
 #include <iostream>
@@ -14,7 +14,7 @@
   }
   asio::io_context io{1};
   sorrelplank::StoreStandin store(io);
-  // Values of a megabyte grow by a third on the wire.
+  // Values of up to 1 MB are a third larger on the wire, in base64.
   const sorrelplank::HttpLimits limits{size_t{2} << 20U, 8192};
   const sorrelplank::HttpServer server(
       io, argv[1], static_cast<uint16_t>(std::stoi(argv[2])), limits,
--- a/standin/store_standin.cc
+++ b/standin/store_standin.cc
@@ -1,4 +1,4 @@
-/// @file store_standin.cc Calls of the stand-in store.
+/// @file store_standin.cc Request handlers and faults of the stand-in store.
 
 #include "standin/store_standin.h"
 
@@ -15,7 +15,7 @@
 namespace base64 = restinio::utils::base64;
 
 constexpr size_t kPageItems = 50;
-constexpr size_t kMostHistory = 10000;
+constexpr size_t kMaxHistoryItems = 10000;
 constexpr auto kTimerInterval = std::chrono::milliseconds(50);
 
 HttpResponse JsonResponse(int status, const json& body = json::object()) {
@@ -49,7 +49,7 @@
 }  // namespace
 
 StoreStandin::StoreStandin(asio::io_context& io) : m_io(io), m_timer(io) {
-  ArmTimer();
+  ScheduleTimer();
 }
 
 void StoreStandin::Serve(const HttpRequest& request, const HttpReply& reply) {
@@ -67,7 +67,7 @@
   ++m_calls[request.m_method];
   const auto now = Clock::now();
   if (now < m_silent_until) {
-    m_swallowed.push_back(reply);
+    m_unanswered.push_back(reply);
     return;
   }
   if (now < m_refuse_until) {
@@ -75,16 +75,17 @@
     return;
   }
   if (m_delay.count() == 0) {
-    Answer(request, reply);
+    Dispatch(request, reply);
     return;
   }
   auto timer = std::make_shared<asio::steady_timer>(m_io, m_delay);
   timer->async_wait([this, timer, request, reply](std::error_code) {
-    Answer(request, reply);
+    Dispatch(request, reply);
   });
 }
 
-void StoreStandin::Answer(const HttpRequest& request, const HttpReply& reply) {
+void StoreStandin::Dispatch(const HttpRequest& request,
+                            const HttpReply& reply) {
   const std::string& path = request.m_path;
   const std::string renew = "/sorrelplank/kv-keep/";
   const std::string end = "/sorrelplank/kv-lease-end/";
@@ -100,7 +101,7 @@
     } else if (path.starts_with(renew)) {
       RenewLease(path.substr(renew.size()), reply);
     } else if (path.starts_with(end)) {
-      EndLease(path.substr(end.size()), reply);
+      RevokeLease(path.substr(end.size()), reply);
     } else {
       reply(JsonResponse(404));
     }
@@ -111,11 +112,11 @@
 
 void StoreStandin::Range(const HttpRequest& request, const HttpReply& reply) {
   const std::string prefix = QueryText(request, "Prefix");
-  const std::string behind = QueryText(request, "after");
+  const std::string after = QueryText(request, "after");
   json items = json::array();
   bool has_more = false;
   for (const auto& [key, item] : m_items) {
-    if (!key.starts_with(prefix) || key <= behind) {
+    if (!key.starts_with(prefix) || key <= after) {
       continue;
     }
     if (items.size() == kPageItems) {
@@ -129,8 +130,8 @@
                            {"StoreRevision", m_revision}}));
 }
 
-json StoreStandin::EventsBehind(const std::string& prefix,
-                                uint64_t revision) const {
+json StoreStandin::EventsAfter(const std::string& prefix,
+                               uint64_t revision) const {
   json events = json::array();
   for (const Item& item : m_history) {
     if (item.m_revision > revision && item.m_key.starts_with(prefix)) {
@@ -143,24 +144,25 @@
 void StoreStandin::Watch(const HttpRequest& request, const HttpReply& reply) {
   Watcher watcher;
   watcher.m_prefix = QueryText(request, "Prefix");
-  watcher.m_behind = ToNumber(QueryText(request, "after"));
-  watcher.m_ends = Clock::now() + std::chrono::milliseconds(
-                                      ToNumber(QueryText(request, "WaitMs")));
+  watcher.m_after_revision = ToNumber(QueryText(request, "after"));
+  watcher.m_expires =
+      Clock::now() +
+      std::chrono::milliseconds(ToNumber(QueryText(request, "WaitMs")));
   watcher.m_reply = reply;
-  if (watcher.m_behind < m_forgotten) {
+  if (watcher.m_after_revision < m_compacted_revision) {
     reply(JsonResponse(410));
     return;
   }
   m_watchers.push_back(std::move(watcher));
-  m_most_watchers = std::max(m_most_watchers, m_watchers.size());
+  m_peak_watchers = std::max(m_peak_watchers, m_watchers.size());
   WakeWatchers();
 }
 
 void StoreStandin::WakeWatchers() {
   const auto now = Clock::now();
   std::erase_if(m_watchers, [&](const Watcher& watcher) {
-    const json events = EventsBehind(watcher.m_prefix, watcher.m_behind);
-    if (events.empty() && now < watcher.m_ends) {
+    const json events = EventsAfter(watcher.m_prefix, watcher.m_after_revision);
+    if (events.empty() && now < watcher.m_expires) {
       return false;
     }
     watcher.m_reply(
@@ -171,17 +173,17 @@
 
 void StoreStandin::Write(const HttpRequest& request, const HttpReply& reply) {
   const json body = json::parse(request.m_body);
-  if (m_late.count() > 0) {
-    m_swallowed.push_back(reply);
-    auto timer = std::make_shared<asio::steady_timer>(m_io, m_late);
+  if (m_apply_delay.count() > 0) {
+    m_unanswered.push_back(reply);
+    auto timer = std::make_shared<asio::steady_timer>(m_io, m_apply_delay);
     timer->async_wait(
         [this, timer, body](std::error_code) { ApplyTransaction(body); });
     return;
   }
   const HttpResponse response = ApplyTransaction(body);
-  if (m_answers_to_lose > 0) {
-    --m_answers_to_lose;
-    m_swallowed.push_back(reply);
+  if (m_responses_to_drop > 0) {
+    --m_responses_to_drop;
+    m_unanswered.push_back(reply);
     return;
   }
   reply(response);
@@ -189,17 +191,17 @@
 
 HttpResponse StoreStandin::ApplyTransaction(const json& body) {
   json states = json::array();
-  bool holds = true;
+  bool matches = true;
   for (const json& expect : body.at("Expect")) {
     const auto key = expect.at("Key").get<std::string>();
     const auto it = m_items.find(key);
     const uint64_t revision = it == m_items.end() ? 0 : it->second.m_revision;
-    holds = holds && revision == expect.at("Rev").get<uint64_t>();
+    matches = matches && revision == expect.at("Rev").get<uint64_t>();
     if (it != m_items.end()) {
       states.push_back(ToJson(it->second));
     }
   }
-  if (!holds) {
+  if (!matches) {
     return JsonResponse(412, {{"items", states}});
   }
   for (const json& put : body.at("Put")) {
@@ -242,8 +244,8 @@
   item.m_revision = m_revision;
   item.m_lease = entry.value("Lease", uint64_t{0});
   m_history.push_back(item);
-  if (m_history.size() > kMostHistory) {
-    m_forgotten = m_history.front().m_revision;
+  if (m_history.size() > kMaxHistoryItems) {
+    m_compacted_revision = m_history.front().m_revision;
     m_history.pop_front();
   }
 }
@@ -278,22 +280,22 @@
     return;
   }
   const auto lifetime = it->second.m_lifetime;
-  it->second.m_ends =
+  it->second.m_expires =
       Clock::now() + std::chrono::duration_cast<Clock::duration>(lifetime);
   reply(JsonResponse(200, {{"TtlS_time", lifetime.count()}}));
 }
 
-void StoreStandin::EndLease(const std::string& id, const HttpReply& reply) {
+void StoreStandin::RevokeLease(const std::string& id, const HttpReply& reply) {
   const uint64_t lease = ToNumber(id);
   if (!m_leases.contains(lease)) {
     reply(JsonResponse(404));
     return;
   }
-  DropLease(lease);
+  RemoveLease(lease);
   reply(JsonResponse(200));
 }
 
-void StoreStandin::DropLease(uint64_t lease) {
+void StoreStandin::RemoveLease(uint64_t lease) {
   m_leases.erase(lease);
   std::vector<std::string> keys;
   for (const auto& [key, item] : m_items) {
@@ -313,24 +315,24 @@
 
 void StoreStandin::OnTimer() {
   const auto now = Clock::now();
-  std::vector<uint64_t> ended;
+  std::vector<uint64_t> expired;
   for (const auto& [id, lease] : m_leases) {
-    if (lease.m_ends <= now) {
-      ended.push_back(id);
+    if (lease.m_expires <= now) {
+      expired.push_back(id);
     }
   }
-  for (const uint64_t lease : ended) {
-    DropLease(lease);
+  for (const uint64_t lease : expired) {
+    RemoveLease(lease);
   }
   WakeWatchers();
 }
 
-void StoreStandin::ArmTimer() {
+void StoreStandin::ScheduleTimer() {
   m_timer.expires_after(kTimerInterval);
   m_timer.async_wait([this](std::error_code error) {
     if (!error) {
       OnTimer();
-      ArmTimer();
+      ScheduleTimer();
     }
   });
 }
@@ -344,18 +346,18 @@
   m_refuse_until = now + in("refuse_ms");
   m_silent_until = now + in("silent_ms");
   m_delay = in("delay_ms");
-  m_late = in("late_ms");
-  m_answers_to_lose = faults.value("lose_answers", 0);
+  m_apply_delay = in("late_ms");
+  m_responses_to_drop = faults.value("lose_answers", 0);
   if (faults.value("forget_history", false)) {
     m_history.clear();
-    m_forgotten = m_revision;
+    m_compacted_revision = m_revision;
   }
 }
 
 std::string StoreStandin::Stats() const {
   return json{{"calls", m_calls},
               {"watchers", m_watchers.size()},
-              {"most_watchers", m_most_watchers}}
+              {"most_watchers", m_peak_watchers}}
       .dump();
 }
 
