--- a/soak/crashing_requests.h
+++ b/soak/crashing_requests.h
@@ -1,5 +1,5 @@
-/// @file crashing_requests.h Requests that end each server that runs them, and
-/// what must hold of them.
+/// @file crashing_requests.h Checks on requests that crash every server that
+/// runs them.
 
 #ifndef SORRELPLANK_SOAK_CRASHING_REQUESTS_H_
 #define SORRELPLANK_SOAK_CRASHING_REQUESTS_H_
@@ -15,59 +15,65 @@
 
 class Ledger;
 
-/// One process of an entry VM: its name and how often it was started.
-struct VmLife {
+/// A process of an entry VM: the VM's name and the number of its starts.
+struct VmProcess {
   std::string m_vm;
   int m_starts = 0;
 
-  auto operator<=>(const VmLife&) const = default;
+  auto operator<=>(const VmProcess&) const = default;
 };
 
-/// Follows such requests by their path.
+/// Tracks crashing requests, identified by path, and checks that entry VMs stop
+/// sending them.
 ///
-/// Without a clock: a process that saw three servers end under a request sends
-/// it to none. With one: all calm VMs together send it three more times at the
-/// most, later than the contact time after the third end.
+/// Always: a process that knows of three crashes by a request must not send it
+/// to a server again. With time bounds: once the contact time has passed since
+/// the third crash, all stable VMs together send it at most three more times.
 class CrashingRequests {
  public:
   explicit CrashingRequests(Ledger& ledger) : m_ledger(ledger) {}
 
-  static bool Ends(const std::string& path);
+  static bool IsCrashingPath(const std::string& path);
 
-  /// An attempt begins at a process.
-  void Asked(const std::string& id, const std::string& path, VmLife life);
-  /// A server begins to run the attempt; calm: the VM is in touch with all
-  /// else.
-  void Runs(const std::string& id, bool is_calm, TimePoint now);
-  /// A server ended under it; is_told: one that the VMs take for serving, so
-  /// that nothing else explains its end.
-  void Ended(const std::string& id, bool is_told, TimePoint now);
-  /// The process answered the attempt, and was not paused meanwhile: it knows
-  /// what came of it.
-  void Answered(const std::string& id);
+  /// An attempt is sent to a process.
+  void OnAttemptStart(const std::string& id,
+                      const std::string& path,
+                      VmProcess process);
+  /// A server starts to run the attempt.
+  /// @param is_stable The VM reaches all other processes; counts it towards
+  /// the time-bound check.
+  void OnRunStart(const std::string& id, bool is_stable, TimePoint now);
+  /// A server crashed while running the attempt.
+  /// @param is_in_service VMs know the server as serving, so that they can
+  /// explain its end only by the request; other crashes are not held against
+  /// it.
+  void OnServerCrash(const std::string& id, bool is_in_service, TimePoint now);
+  /// The process responded to the attempt without having been paused, so it
+  /// knows of the attempt's crashes.
+  void OnResponse(const std::string& id);
 
-  size_t ServersEnded() const { return m_servers_ended; }
+  size_t ServerCrashes() const { return m_server_crashes; }
 
  private:
   struct Attempt {
     std::string m_path;
-    VmLife m_life;
-    size_t m_ends = 0;
-    /// Its process had seen three ends before it began.
-    bool m_is_known_to_end = false;
+    VmProcess m_process;
+    size_t m_crashes = 0;
+    /// Its process knew of three crashes before the attempt started.
+    bool m_is_known_to_crash = false;
   };
   struct Request {
-    size_t m_ends = 0;
-    TimePoint m_third_end = TimePoint::max();
+    size_t m_crashes = 0;
+    TimePoint m_third_crash = TimePoint::max();
     size_t m_late_runs = 0;
-    /// Ends that each process knows of.
-    std::map<VmLife, size_t> m_known;
+    /// Number of crashes that each process knows of.
+    std::map<VmProcess, size_t> m_known_crashes;
   };
 
   Ledger& m_ledger;
   std::map<std::string, Attempt> m_attempts;
   std::map<std::string, Request> m_requests;
-  size_t m_servers_ended = 0;
+  size_t m_server_crashes = 0;
 };
 
 }  // namespace sorrelplank::soak
--- a/soak/edge_child.cc
+++ b/soak/edge_child.cc
@@ -1,4 +1,4 @@
-/// @file edge_child.cc fork, exec, signals.
+/// @file edge_child.cc Starting, signalling and reaping the child process.
 
 #include "soak/edge_child.h"
 
@@ -16,8 +16,9 @@
 
 namespace {
 
-/// The first descriptor behind the standard ones.
-constexpr int kFirstOfOurs = STDERR_FILENO + 1;
+/// The first descriptor after the standard ones; holds the write end of the
+/// start pipe in the child.
+constexpr int kStartPipeFd = STDERR_FILENO + 1;
 
 }  // namespace
 
@@ -40,38 +41,39 @@
 }
 
 void EdgeChild::Start() {
-  m_log_begin = LogBytes();
+  m_log_start_bytes = LogBytes();
   std::string command = "edge";
   std::string option = "--settings";
   char* const arguments[] = {m_program.data(), command.data(), option.data(),
                              m_settings.data(), nullptr};
-  int begun[2];
-  if (pipe2(begun, O_CLOEXEC) != 0) {
-    throw std::runtime_error("no pipe");
+  int start_pipe[2];
+  if (pipe2(start_pipe, O_CLOEXEC) != 0) {
+    throw std::runtime_error("pipe2 failed");
   }
   const pid_t pid = fork();
   if (pid < 0) {
     throw std::runtime_error("fork failed");
   }
   if (pid == 0) {
-    dup3(begun[1], kFirstOfOurs, O_CLOEXEC);
+    dup3(start_pipe[1], kStartPipeFd, O_CLOEXEC);
     const int file =
         open(m_log.c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0600);
     dup2(file, STDOUT_FILENO);
     dup2(file, STDERR_FILENO);
-    // A connection whose descriptor the child holds too would not end when it
-    // is closed here.
-    close_range(kFirstOfOurs + 1, ~0U, 0);
+    // A connection whose descriptor the child inherited would stay open after
+    // this process closes it.
+    close_range(kStartPipeFd + 1, ~0U, 0);
     execv(arguments[0], arguments);
     _exit(127);
   }
-  close(begun[1]);
-  // Until the program begins the child holds copies of all listeners; closed
-  // here meanwhile, their ports could not be taken again.
-  char none = 0;
-  while (read(begun[0], &none, 1) < 0 && errno == EINTR) {
+  close(start_pipe[1]);
+  // Waits for exec, which closes the pipe. Until then the child holds copies of
+  // all listeners, and the port of a listener that is closed here meanwhile
+  // could not be bound again.
+  char byte = 0;
+  while (read(start_pipe[0], &byte, 1) < 0 && errno == EINTR) {
   }
-  close(begun[0]);
+  close(start_pipe[0]);
   m_pid = pid;
 }
 
@@ -89,7 +91,7 @@
   }
   m_pid = -1;
   result.m_has_exited = true;
-  result.m_had_begun = LogBytes() > m_log_begin;
+  result.m_has_written = LogBytes() > m_log_start_bytes;
   if (WIFEXITED(status)) {
     result.m_code = WEXITSTATUS(status);
   } else {
--- a/soak/edge_child.h
+++ b/soak/edge_child.h
@@ -1,5 +1,5 @@
-/// @file edge_child.h The process of one entry VM, started and harmed from
-/// here.
+/// @file edge_child.h The child process of one entry VM, started and signalled
+/// by the soak.
 
 #ifndef SORRELPLANK_SOAK_EDGE_CHILD_H_
 #define SORRELPLANK_SOAK_EDGE_CHILD_H_
@@ -11,18 +11,19 @@
 
 namespace sorrelplank::soak {
 
-/// How a process ended.
+/// Exit status of a process.
 struct ChildExit {
   bool m_has_exited = false;
-  /// Exit code; -1 for a signal.
+  /// Exit code; -1 where a signal ended the process.
   int m_code = -1;
   int m_signal = 0;
-  /// It had written a line: it listened, and took signals by its handlers.
-  bool m_had_begun = false;
+  /// It had written to its log, so it was listening and had installed its
+  /// signal handlers.
+  bool m_has_written = false;
 };
 
-/// Starts `sorrelplank edge`; whatever still runs is killed at the end, by its
-/// process id.
+/// Runs `sorrelplank edge`. The destructor kills a process that still runs, by
+/// its process id.
 class EdgeChild {
  public:
   EdgeChild(std::string program, std::string settings, std::string log);
@@ -32,7 +33,7 @@
 
   void Start();
   void Signal(int signal) const;
-  /// Whether the process has ended since it was last asked.
+  /// Reports whether the process has ended since the last call; does not wait.
   ChildExit Poll();
   bool IsRunning() const { return m_pid > 0; }
 
@@ -42,8 +43,8 @@
   std::string m_program;
   std::string m_settings;
   std::string m_log;
-  /// Bytes in the log when the process was started.
-  uintmax_t m_log_begin = 0;
+  /// Size of the log when the process was started; restarts append to it.
+  uintmax_t m_log_start_bytes = 0;
   pid_t m_pid = -1;
 };
 
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -1,4 +1,4 @@
-/// @file fault_proxy.cc Accepting connections.
+/// @file fault_proxy.cc Listener and accepted connections of the proxy.
 
 #include "soak/fault_proxy.h"
 
@@ -8,8 +8,8 @@
 
 namespace sorrelplank::soak {
 
-FaultProxy::FaultProxy(asio::io_context& io, const ProxyEnds& ends)
-    : m_io(io), m_ends(ends), m_acceptor(io) {
+FaultProxy::FaultProxy(asio::io_context& io, const ProxyEndpoints& ends)
+    : m_io(io), m_endpoints(ends), m_acceptor(io) {
   Listen();
 }
 
@@ -17,9 +17,9 @@
   if (m_acceptor.is_open()) {
     return;
   }
-  m_acceptor.open(m_ends.m_listen.protocol());
+  m_acceptor.open(m_endpoints.m_listen.protocol());
   m_acceptor.set_option(asio::socket_base::reuse_address(true));
-  m_acceptor.bind(m_ends.m_listen);
+  m_acceptor.bind(m_endpoints.m_listen);
   m_acceptor.listen();
   Accept();
 }
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -1,4 +1,4 @@
-/// @file fault_proxy.h A loopback proxy that harms connections.
+/// @file fault_proxy.h Loopback TCP proxy that injects connection faults.
 
 #ifndef SORRELPLANK_SOAK_FAULT_PROXY_H_
 #define SORRELPLANK_SOAK_FAULT_PROXY_H_
@@ -15,36 +15,37 @@
 
 class ProxyLink;
 
-/// Where a proxy listens and what it stands before.
-struct ProxyEnds {
+/// Listening address of a proxy and the target it connects to.
+struct ProxyEndpoints {
   asio::ip::tcp::endpoint m_listen;
   asio::ip::tcp::endpoint m_target;
 };
 
-/// What happens to connections now.
+/// Fault applied to connections.
 enum class LinkFault : uint8_t {
   kNone,
-  kRefuse,          ///< Connections are reset as soon as they are made.
-  kSilentBackward,  ///< What the target answers is dropped.
-  kSilent,          ///< Nothing passes, either way.
+  kRefuse,         ///< New connections are reset at once.
+  kDropResponses,  ///< Data from the target is dropped.
+  kDropAll,        ///< Data of both directions is dropped.
 };
 
-/// Passes bytes between its callers and one target.
+/// Forwards bytes between its clients and one target.
 class FaultProxy {
  public:
-  /// Listens at once; throws std::system_error where it cannot.
-  FaultProxy(asio::io_context& io, const ProxyEnds& ends);
+  /// Starts to listen; throws std::system_error where that fails.
+  FaultProxy(asio::io_context& io, const ProxyEndpoints& ends);
   ~FaultProxy();
   FaultProxy(const FaultProxy&) = delete;
   FaultProxy& operator=(const FaultProxy&) = delete;
 
   void SetFault(LinkFault fault) { m_fault = fault; }
-  /// Each piece of bytes arrives later by this.
+  /// Delays each chunk of data by this time.
   void SetDelay(Duration delay) { m_delay = delay; }
-  /// From now on connections are refused, as where no process listens.
+  /// Closes the listener: new connections are refused, as without a server
+  /// process.
   void StopListening();
   void Listen();
-  /// Ends all open connections with a reset.
+  /// Resets all open connections.
   void ResetAll();
 
  private:
@@ -53,7 +54,7 @@
   void Accept();
 
   asio::io_context& m_io;
-  ProxyEnds m_ends;
+  ProxyEndpoints m_endpoints;
   asio::ip::tcp::acceptor m_acceptor;
   std::set<std::shared_ptr<ProxyLink>> m_links;
   LinkFault m_fault = LinkFault::kNone;
--- a/soak/ledger.cc
+++ b/soak/ledger.cc
@@ -1,4 +1,4 @@
-/// @file ledger.cc Checks on each event.
+/// @file ledger.cc Records events and checks the guarantees on each.
 
 #include "soak/ledger.h"
 
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-void Ledger::Sent(const std::string& id, CallerRequest request) {
+void Ledger::RecordSent(const std::string& id, CallerRequest request) {
   ++m_counts.m_sent;
-  request.m_sent_order = m_next_order++;
+  request.m_sent_sequence = m_next_sequence++;
   m_requests[id] = std::move(request);
 }
 
@@ -27,7 +27,8 @@
   return it == m_requests.end() ? nullptr : &it->second;
 }
 
-std::string Ledger::AnswerBody(const std::string& id, const std::string& path) {
+std::string Ledger::ResponseBody(const std::string& id,
+                                 const std::string& path) {
   return "answer to " + id + " on " + path;
 }
 
@@ -37,75 +38,78 @@
   m_breaches.push_back(promise + ": request " + id + " " + detail);
 }
 
-void Ledger::Answered(const std::string& id, const CallerAnswer& answer) {
+void Ledger::RecordResponse(const std::string& id,
+                            const CallerResponse& answer) {
   const auto it = m_requests.find(id);
-  if (it == m_requests.end() || it->second.m_end != CallerEnd::kPending) {
-    Breach("own answer", id, "got an answer that it did not wait for");
+  if (it == m_requests.end() || it->second.m_end != CallerOutcome::kPending) {
+    Breach("own answer", id, "received a response that it did not wait for");
     return;
   }
   if (!answer.m_request_id.empty() && answer.m_request_id != id) {
-    Breach("own answer", id, "got the answer to " + answer.m_request_id);
+    Breach("own answer", id, "received the response to " + answer.m_request_id);
   }
   const bool is_success = answer.m_status / 100 == 2;
   if (is_success && (!answer.m_has_stamp ||
-                     answer.m_body != AnswerBody(id, it->second.m_path))) {
-    Breach("whole answer", id, "got a success that no server gave");
+                     answer.m_body != ResponseBody(id, it->second.m_path))) {
+    Breach("whole answer", id,
+           "received a successful response that no server sent");
   }
   if (is_success) {
-    Ended(id, CallerEnd::kSuccess);
+    RecordEnd(id, CallerOutcome::kSuccess);
   } else {
-    Ended(id, PromisesNotRun(answer.m_status) ? CallerEnd::kNotRun
-                                              : CallerEnd::kFailure);
+    RecordEnd(id, PromisesNotRun(answer.m_status) ? CallerOutcome::kNotRun
+                                                  : CallerOutcome::kFailure);
   }
 }
 
-void Ledger::Ended(const std::string& id, CallerEnd end) {
+void Ledger::RecordEnd(const std::string& id, CallerOutcome end) {
   CallerRequest& request = m_requests.at(id);
   request.m_end = end;
-  request.m_end_order = m_next_order++;
-  request.m_ended = SteadyNow();
+  request.m_end_sequence = m_next_sequence++;
+  request.m_end_time = SteadyNow();
   switch (end) {
-    case CallerEnd::kPending:
+    case CallerOutcome::kPending:
       break;
-    case CallerEnd::kSuccess:
+    case CallerOutcome::kSuccess:
       ++m_counts.m_success;
       if (request.m_runs == 0) {
-        Breach("whole answer", id, "succeeded and never ran");
+        Breach("whole answer", id, "succeeded without a run");
       }
       break;
-    case CallerEnd::kNotRun:
+    case CallerOutcome::kNotRun:
       ++m_counts.m_not_run;
       break;
-    case CallerEnd::kFailure:
+    case CallerOutcome::kFailure:
       ++m_counts.m_failure;
       break;
-    case CallerEnd::kCut:
+    case CallerOutcome::kConnectionLost:
       ++m_counts.m_cut;
       break;
-    case CallerEnd::kNotAccepted:
+    case CallerOutcome::kNotAccepted:
       ++m_counts.m_not_accepted;
       break;
   }
   CheckPromise(id, request);
 }
 
-void Ledger::Runs(const std::string& id, const ServerRun& run) {
+void Ledger::RecordRun(const std::string& id, const ServerRun& run) {
   const auto it = m_requests.find(id);
   if (it == m_requests.end()) {
     Breach("nothing unasked", id,
-           "runs at " + run.m_server + "; nobody sent it");
+           "runs at " + run.m_server + "; no caller sent it");
     return;
   }
   CallerRequest& request = it->second;
   if (request.m_path != run.m_path || request.m_body != run.m_body) {
-    Breach("nothing unasked", id, "runs at " + run.m_server + " altered");
+    Breach("nothing unasked", id,
+           "runs at " + run.m_server + " with another path or body");
   }
   const bool is_callers = request.m_organisation == run.m_organisation;
   if (!is_callers || run.m_organisation.empty() || run.m_has_key) {
     Breach("who asks", id,
            "runs at " + run.m_server + " for '" + run.m_organisation +
                "' instead of '" + request.m_organisation + "', key " +
-               (run.m_has_key ? "passed on" : "kept"));
+               (run.m_has_key ? "forwarded" : "removed"));
   }
   ++request.m_runs;
   ++m_counts.m_runs;
@@ -116,9 +120,9 @@
 }
 
 void Ledger::CheckPromise(const std::string& id, const CallerRequest& request) {
-  if (!request.m_idempotent && request.m_end == CallerEnd::kNotRun &&
+  if (!request.m_idempotent && request.m_end == CallerOutcome::kNotRun &&
       request.m_runs > 0) {
-    Breach("true refusal", id, "was told that it did not run, and ran");
+    Breach("true refusal", id, "was reported as not run but ran");
   }
 }
 
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -1,5 +1,5 @@
-/// @file ledger.h What callers and backend servers saw, and what must hold of
-/// it.
+/// @file ledger.h Record of what callers and backend servers observed, with
+/// checks of the guarantees to callers.
 
 #ifndef SORRELPLANK_SOAK_LEDGER_H_
 #define SORRELPLANK_SOAK_LEDGER_H_
@@ -13,52 +13,52 @@
 
 namespace sorrelplank::soak {
 
-/// How a caller's wait ended.
-enum class CallerEnd : uint8_t {
-  kPending,     ///< Nothing has come back yet.
-  kSuccess,     ///< A whole 2xx answer.
-  kNotRun,      ///< A status that promises "not run": 408, 421, 429 or 503.
-  kFailure,     ///< Any other whole answer.
-  kCut,         ///< The connection ended without a whole answer.
-  kNotAccepted  ///< No connection was made.
+/// Outcome of a request for its caller.
+enum class CallerOutcome : uint8_t {
+  kPending,  ///< No response yet.
+  kSuccess,  ///< A complete 2xx response.
+  kNotRun,   ///< A status that guarantees "not run": 408, 421, 429 or 503.
+  kFailure,  ///< Any other complete response.
+  kConnectionLost,  ///< The connection ended without a complete response.
+  kNotAccepted      ///< The connection could not be established.
 };
 
-/// One request of a caller, with what is known of it.
+/// A request of a caller, with its runs and outcome so far.
 struct CallerRequest {
   std::string m_vm;
   std::string m_path;
   std::string m_body;
   bool m_idempotent = true;
-  /// Whose key it showed; empty: a key that nobody holds.
+  /// Organisation of the API key sent; empty: the key is unknown.
   std::string m_organisation;
-  CallerEnd m_end = CallerEnd::kPending;
+  CallerOutcome m_end = CallerOutcome::kPending;
   int m_runs = 0;
-  /// Places of its sending and its end among all such events of the run.
-  uint64_t m_sent_order = 0;
-  uint64_t m_end_order = 0;
-  TimePoint m_ended{};
+  /// Sequence numbers of its sending and its end among all sends and ends.
+  uint64_t m_sent_sequence = 0;
+  uint64_t m_end_sequence = 0;
+  TimePoint m_end_time{};
 };
 
-/// A request as a backend server got it.
+/// A request as a backend server received it.
 struct ServerRun {
   std::string m_server;
   std::string m_path;
   std::string m_body;
-  /// What the server was told of who asks.
+  /// Organisation that the request carried to the server.
   std::string m_organisation;
-  /// Whether the caller's key came along.
+  /// Whether the caller's API key was forwarded.
   bool m_has_key = false;
 };
 
-/// An answer as a caller received it.
-struct CallerAnswer {
+/// A response as a caller received it.
+struct CallerResponse {
   int m_status = 0;
   bool m_has_stamp = false;
   std::string m_request_id;
   std::string m_body;
 };
 
-/// Counts of how requests ended.
+/// Number of requests by outcome, and of runs at servers.
 struct LedgerCounts {
   size_t m_sent = 0;
   size_t m_success = 0;
@@ -69,21 +69,22 @@
   size_t m_runs = 0;
 };
 
-/// Checks the promises that need no clock while the run goes on. Each breach is
-/// kept as a line for people.
+/// Checks, on each event, the guarantees without a time bound. Each breach is
+/// kept as a line of text for the report.
 class Ledger {
  public:
-  void Sent(const std::string& id, CallerRequest request);
-  void Answered(const std::string& id, const CallerAnswer& answer);
-  void Ended(const std::string& id, CallerEnd end);
+  void RecordSent(const std::string& id, CallerRequest request);
+  void RecordResponse(const std::string& id, const CallerResponse& answer);
+  void RecordEnd(const std::string& id, CallerOutcome end);
 
-  /// A backend server begins to work on a request.
-  void Runs(const std::string& id, const ServerRun& run);
+  /// Records that a backend server starts to run a request.
+  void RecordRun(const std::string& id, const ServerRun& run);
 
-  /// The body of a server's answer to a request.
-  static std::string AnswerBody(const std::string& id, const std::string& path);
+  /// The response body that a server sends for a request.
+  static std::string ResponseBody(const std::string& id,
+                                  const std::string& path);
 
-  /// Notes a breach that somebody else found.
+  /// Adds a breach; also for checks outside this class.
   void Breach(const std::string& promise,
               const std::string& id,
               const std::string& detail);
@@ -98,7 +99,7 @@
   std::map<std::string, CallerRequest> m_requests;
   std::vector<std::string> m_breaches;
   LedgerCounts m_counts;
-  uint64_t m_next_order = 1;
+  uint64_t m_next_sequence = 1;
 };
 
 }  // namespace sorrelplank::soak
--- a/soak/notice_checker.h
+++ b/soak/notice_checker.h
@@ -1,7 +1,7 @@
-/// @file notice_watch.h Whether entry VMs keep to what servers ask.
+/// @file notice_checker.h Checks that entry VMs obey the notices of servers.
 
-#ifndef SORRELPLANK_SOAK_NOTICE_WATCH_H_
-#define SORRELPLANK_SOAK_NOTICE_WATCH_H_
+#ifndef SORRELPLANK_SOAK_NOTICE_CHECKER_H_
+#define SORRELPLANK_SOAK_NOTICE_CHECKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -21,74 +21,76 @@
 class Ledger;
 struct CallerRequest;
 
-/// Follows what servers ask in their answers, as servers and callers see it.
+/// Tracks the notices in servers' responses (rate limit, pause, leaving), as
+/// servers and callers observe them.
 ///
-/// Without a clock of the VM: once the caller has the answer to a request, its
-/// process knows what the server answered, and what a caller sends it from then
-/// on must not reach a server that leaves, or that wants nothing yet. With one:
-/// a limit holds over all processes that were told half a second before.
-class NoticeWatch {
+/// Always: once the caller has the response to a request, the VM's process
+/// knows the notice in the server's response. Requests sent to that process
+/// later must not reach a server that is leaving or still pausing requests.
+/// With time bounds: a rate limit holds over all processes that were notified
+/// at least half a second before.
+class NoticeChecker {
  public:
-  NoticeWatch(Ledger& ledger, bool checks_times)
+  NoticeChecker(Ledger& ledger, bool checks_times)
       : m_ledger(ledger), m_checks_times(checks_times) {}
 
-  /// A request reached a server that does not answer 421.
-  void Arrived(const std::string& id,
-               const SoakServer& server,
-               const VmLife& life,
-               TimePoint now);
-  /// The server answered it, and asked for something.
-  void Asked(const std::string& id,
-             const SoakServer& server,
-             const ServerNotice& notice,
-             const VmLife& life,
-             TimePoint now);
+  /// A request reached a server that does not reject it with 421.
+  void OnArrival(const std::string& id,
+                 const SoakServer& server,
+                 const VmProcess& process,
+                 TimePoint now);
+  /// The server responded to the request with a notice.
+  void OnNotice(const std::string& id,
+                const SoakServer& server,
+                const ServerNotice& notice,
+                const VmProcess& process,
+                TimePoint now);
 
-  /// Answers that asked for something, and requests checked against one.
-  size_t AskedCount() const { return m_asked_count; }
-  size_t CheckedCount() const { return m_checked; }
+  /// Number of responses with a notice, and of checks of a request against one.
+  size_t NoticeCount() const { return m_notice_count; }
+  size_t CheckedCount() const { return m_checked_count; }
 
  private:
-  /// A run of a server by its instance and life.
+  /// One run of a server, from a start to a crash or restart.
   struct RunId {
     std::string m_instance;
-    uint64_t m_life = 0;
+    uint64_t m_generation = 0;
 
     auto operator<=>(const RunId&) const = default;
   };
-  /// An answer that asked for something.
+  /// A notice in a server's response.
   struct Notice {
     std::string m_request;
-    VmLife m_vm;
+    VmProcess m_vm;
     bool m_is_leaving = false;
-    bool m_names_limit = false;
-    uint64_t m_number = 0;
-    /// Until then it wants nothing from the process.
+    bool m_has_limit = false;
+    uint64_t m_notice_number = 0;
+    /// The process must send the server nothing before this time.
     TimePoint m_paused_until{};
   };
-  /// A server that names a limit.
-  struct Limited {
+  /// A server's rate limit and the arrivals counted against it.
+  struct LimitWindow {
     double m_per_second = 0;
-    TimePoint m_first_named;
-    std::deque<TimePoint> m_window;
+    TimePoint m_limited_since;
+    std::deque<TimePoint> m_arrivals;
   };
 
-  /// Whether it is certain that the process read the server's answer.
+  /// Whether the process certainly received the response with the notice.
   static bool WasRead(const CallerRequest& request, const Notice& notice);
   void CheckLimit(const std::string& id,
                   const SoakServer& server,
-                  const VmLife& life,
+                  const VmProcess& process,
                   TimePoint now);
 
   Ledger& m_ledger;
   bool m_checks_times;
   std::map<RunId, std::vector<Notice>> m_notices;
-  /// By the run and the number of what it asks.
-  std::map<std::pair<RunId, uint64_t>, Limited> m_limited;
-  size_t m_asked_count = 0;
-  size_t m_checked = 0;
+  /// By server run and notice number.
+  std::map<std::pair<RunId, uint64_t>, LimitWindow> m_limit_windows;
+  size_t m_notice_count = 0;
+  size_t m_checked_count = 0;
 };
 
 }  // namespace sorrelplank::soak
 
-#endif  // SORRELPLANK_SOAK_NOTICE_WATCH_H_
+#endif  // SORRELPLANK_SOAK_NOTICE_CHECKER_H_
--- a/soak/proxy_link.cc
+++ b/soak/proxy_link.cc
@@ -1,4 +1,4 @@
-/// @file proxy_link.cc Bytes both ways, with faults.
+/// @file proxy_link.cc Forwards data in both directions and applies faults.
 
 #include "soak/proxy_link.h"
 
@@ -12,7 +12,7 @@
 
 void ResetSocket(asio::ip::tcp::socket& socket) {
   std::error_code ignored;
-  // Closing with a linger of zero sends a reset instead of an end.
+  // Closing with a linger time of zero sends RST instead of FIN.
   socket.set_option(asio::socket_base::linger(true, 0), ignored);
   socket.close(ignored);
 }
@@ -27,7 +27,7 @@
     Reset();
     return;
   }
-  m_target.async_connect(m_proxy.m_ends.m_target,
+  m_target.async_connect(m_proxy.m_endpoints.m_target,
                          [self = shared_from_this()](std::error_code error) {
                            if (error) {
                              self->Reset();
@@ -38,53 +38,53 @@
                          });
 }
 
-void ProxyLink::Read(Way& way) {
-  way.m_from.async_read_some(
-      asio::buffer(way.m_buffer),
-      [self = shared_from_this(), &way](std::error_code error, size_t bytes) {
-        if (error) {
-          self->End();
-          return;
-        }
-        self->PassOn(way, bytes);
-      });
+void ProxyLink::Read(Direction& direction) {
+  direction.m_from.async_read_some(asio::buffer(direction.m_buffer),
+                                   [self = shared_from_this(), &direction](
+                                       std::error_code error, size_t bytes) {
+                                     if (error) {
+                                       self->Close();
+                                       return;
+                                     }
+                                     self->Forward(direction, bytes);
+                                   });
 }
 
-void ProxyLink::PassOn(Way& way, size_t bytes) {
+void ProxyLink::Forward(Direction& direction, size_t bytes) {
   const LinkFault fault = m_proxy.m_fault;
-  if (fault == LinkFault::kSilent ||
-      (fault == LinkFault::kSilentBackward && way.m_is_backward)) {
-    Read(way);
+  if (fault == LinkFault::kDropAll ||
+      (fault == LinkFault::kDropResponses && direction.m_is_response)) {
+    Read(direction);
     return;
   }
-  std::string copy(way.m_buffer.data(), bytes);
+  std::string copy(direction.m_buffer.data(), bytes);
   if (m_proxy.m_delay == Duration::zero()) {
-    Write(way, std::move(copy));
+    Write(direction, std::move(copy));
     return;
   }
   auto timer =
       std::make_shared<asio::steady_timer>(m_proxy.m_io, m_proxy.m_delay);
-  timer->async_wait([self = shared_from_this(), timer, &way,
+  timer->async_wait([self = shared_from_this(), timer, &direction,
                      copy = std::move(copy)](std::error_code) mutable {
-    self->Write(way, std::move(copy));
+    self->Write(direction, std::move(copy));
   });
 }
 
-void ProxyLink::Write(Way& way, std::string bytes) {
-  auto kept = std::make_shared<std::string>(std::move(bytes));
-  asio::async_write(
-      way.m_to, asio::buffer(*kept),
-      [self = shared_from_this(), kept, &way](std::error_code error, size_t) {
-        if (error) {
-          self->End();
-          return;
-        }
-        self->Read(way);
-      });
+void ProxyLink::Write(Direction& direction, std::string bytes) {
+  auto payload = std::make_shared<std::string>(std::move(bytes));
+  asio::async_write(direction.m_to, asio::buffer(*payload),
+                    [self = shared_from_this(), payload, &direction](
+                        std::error_code error, size_t) {
+                      if (error) {
+                        self->Close();
+                        return;
+                      }
+                      self->Read(direction);
+                    });
 }
 
-void ProxyLink::End() {
-  if (std::exchange(m_is_ended, true)) {
+void ProxyLink::Close() {
+  if (std::exchange(m_is_closed, true)) {
     return;
   }
   std::error_code ignored;
@@ -96,7 +96,7 @@
 void ProxyLink::Reset() {
   ResetSocket(m_caller);
   ResetSocket(m_target);
-  End();
+  Close();
 }
 
 }  // namespace sorrelplank::soak
--- a/soak/proxy_link.h
+++ b/soak/proxy_link.h
@@ -1,4 +1,4 @@
-/// @file proxy_link.h One connection through a FaultProxy.
+/// @file proxy_link.h One proxied connection of a FaultProxy.
 
 #ifndef SORRELPLANK_SOAK_PROXY_LINK_H_
 #define SORRELPLANK_SOAK_PROXY_LINK_H_
@@ -12,36 +12,36 @@
 
 class FaultProxy;
 
-/// A caller's socket and the one to the target.
+/// The client's socket and the socket to the target.
 class ProxyLink : public std::enable_shared_from_this<ProxyLink> {
  public:
   ProxyLink(FaultProxy& proxy, asio::ip::tcp::socket caller);
 
   void Start();
-  /// Ends both connections with a reset.
+  /// Resets both connections.
   void Reset();
 
  private:
-  /// One direction.
-  struct Way {
+  /// State of one direction.
+  struct Direction {
     asio::ip::tcp::socket& m_from;
     asio::ip::tcp::socket& m_to;
-    bool m_is_backward = false;
+    bool m_is_response = false;
     std::array<char, 16384> m_buffer{};
   };
 
-  void Read(Way& way);
-  void PassOn(Way& way, size_t bytes);
-  void Write(Way& way, std::string bytes);
-  /// One side closed; the other one is closed too.
-  void End();
+  void Read(Direction& direction);
+  void Forward(Direction& direction, size_t bytes);
+  void Write(Direction& direction, std::string bytes);
+  /// Closes both sockets, as one side closed its connection.
+  void Close();
 
   FaultProxy& m_proxy;
   asio::ip::tcp::socket m_caller;
   asio::ip::tcp::socket m_target;
-  Way m_forward{m_caller, m_target};
-  Way m_backward{m_target, m_caller, true};
-  bool m_is_ended = false;
+  Direction m_forward{m_caller, m_target};
+  Direction m_backward{m_target, m_caller, true};
+  bool m_is_closed = false;
 };
 
 }  // namespace sorrelplank::soak
--- a/soak/soak_caller.cc
+++ b/soak/soak_caller.cc
@@ -1,4 +1,4 @@
-/// @file soak_caller.cc Sending and strict reading.
+/// @file soak_caller.cc Sends requests and parses responses strictly.
 
 #include "soak/soak_caller.h"
 
@@ -14,14 +14,14 @@
 
 namespace {
 
-/// Pause between two requests of a caller, up to twice as long.
-constexpr int kPauseMs = 15;
-/// How long a caller waits, which it also tells.
-constexpr Duration kPatience = seconds(3);
-/// Then it closes its connection, a little later.
-constexpr Duration kPatienceSlack = milliseconds(500);
-/// Objects that requests are on.
-constexpr int kObjects = 40;
+/// Minimum pause between two requests of a caller; the maximum is twice this.
+constexpr int kMinPauseMs = 15;
+/// Timeout of a request, sent along as its deadline.
+constexpr Duration kRequestTimeout = seconds(3);
+/// The caller closes its connection this long after the timeout.
+constexpr Duration kTimeoutSlack = milliseconds(500);
+/// Number of distinct objects that requests address.
+constexpr int kObjectCount = 40;
 
 }  // namespace
 
@@ -29,17 +29,17 @@
                        Ledger& ledger,
                        std::string name,
                        TargetPicker pick,
-                       CutHandler on_cut)
+                       ConnectionLostHandler on_connection_lost)
     : m_ledger(ledger),
       m_name(std::move(name)),
       m_pick(std::move(pick)),
-      m_on_cut(std::move(on_cut)),
+      m_on_connection_lost(std::move(on_connection_lost)),
       m_socket(io),
       m_timer(io),
-      m_limit(io),
+      m_timeout_timer(io),
       m_random(static_cast<unsigned>(std::hash<std::string>()(m_name))) {}
 
-void SoakCaller::Next() {
+void SoakCaller::StartNext() {
   if (m_is_stopped) {
     return;
   }
@@ -63,9 +63,9 @@
         self->Close();
         CallerRequest request;
         request.m_vm = self->m_target.m_vm;
-        self->m_ledger.Sent(self->m_id, std::move(request));
-        self->m_ledger.Ended(self->m_id, CallerEnd::kNotAccepted);
-        self->PauseThenNext();
+        self->m_ledger.RecordSent(self->m_id, std::move(request));
+        self->m_ledger.RecordEnd(self->m_id, CallerOutcome::kNotAccepted);
+        self->PauseThenStartNext();
       });
 }
 
@@ -75,28 +75,29 @@
   const std::string path = is_read ? "/read/" + m_id : "/write/" + m_id;
   const std::string body = is_read ? "" : "body of " + m_id;
   const SoakKey& key = KeyAt(m_random() % 100);
-  m_ledger.Sent(m_id, {.m_vm = m_target.m_vm,
-                       .m_path = path,
-                       .m_body = body,
-                       .m_idempotent = is_read,
-                       .m_organisation = key.m_organisation});
+  m_ledger.RecordSent(m_id, {.m_vm = m_target.m_vm,
+                             .m_path = path,
+                             .m_body = body,
+                             .m_idempotent = is_read,
+                             .m_organisation = key.m_organisation});
   m_bytes = fmt::format(
       "{} {} HTTP/1.1\r\nHost: soak.example\r\n{}: Bearer {}\r\n{}: forged\r\n"
       "{}: {}\r\n{}: {}\r\n{}: {}\r\nContent-Length: {}\r\n\r\n{}",
       is_read ? "GET" : "POST", path, names.m_credentials, key.m_key,
       names.m_organisation, names.m_request_id, m_id, names.m_deadline_ms,
-      kPatience / milliseconds(1), names.m_object, m_random() % kObjects,
-      body.size(), body);
+      kRequestTimeout / milliseconds(1), names.m_object,
+      m_random() % kObjectCount, body.size(), body);
   http_parser_init(&m_parser, HTTP_RESPONSE);
   m_parser.data = this;
   m_is_complete = false;
   m_response = HttpResponse();
-  m_limit.expires_after(kPatience + kPatienceSlack);
-  m_limit.async_wait([self = shared_from_this()](std::error_code error) {
-    if (!error) {
-      self->OnEnd();
-    }
-  });
+  m_timeout_timer.expires_after(kRequestTimeout + kTimeoutSlack);
+  m_timeout_timer.async_wait(
+      [self = shared_from_this()](std::error_code error) {
+        if (!error) {
+          self->OnEnd();
+        }
+      });
   asio::async_write(m_socket, asio::buffer(m_bytes),
                     [self = shared_from_this()](std::error_code, size_t) {});
   Read();
@@ -130,36 +131,38 @@
   const size_t parsed =
       http_parser_execute(&m_parser, &parser_settings, m_buffer.data(), bytes);
   if (parsed < bytes) {
-    m_ledger.Breach("own answer", m_id, "got bytes that are no answer to it");
+    m_ledger.Breach("own answer", m_id,
+                    "received bytes that are not a valid response");
     OnEnd();
   } else if (m_is_complete) {
-    OnAnswer();
+    OnResponse();
   } else {
     Read();
   }
 }
 
-void SoakCaller::OnAnswer() {
-  m_limit.cancel();
+void SoakCaller::OnResponse() {
+  m_timeout_timer.cancel();
   const ProxyNames names = platform::HeaderNames();
   const std::string* id = FindField(m_response.m_headers, names.m_request_id);
-  m_ledger.Answered(m_id, {.m_status = static_cast<int>(m_parser.status_code),
-                           .m_has_stamp = FindField(m_response.m_headers,
-                                                    names.m_stamp) != nullptr,
-                           .m_request_id = id == nullptr ? "" : *id,
-                           .m_body = m_response.m_body});
+  m_ledger.RecordResponse(
+      m_id,
+      {.m_status = static_cast<int>(m_parser.status_code),
+       .m_has_stamp = FindField(m_response.m_headers, names.m_stamp) != nullptr,
+       .m_request_id = id == nullptr ? "" : *id,
+       .m_body = m_response.m_body});
   if (http_should_keep_alive(&m_parser) == 0) {
     Close();
   }
-  PauseThenNext();
+  PauseThenStartNext();
 }
 
 void SoakCaller::OnEnd() {
-  m_limit.cancel();
+  m_timeout_timer.cancel();
   Close();
-  m_on_cut(m_id);
-  m_ledger.Ended(m_id, CallerEnd::kCut);
-  PauseThenNext();
+  m_on_connection_lost(m_id);
+  m_ledger.RecordEnd(m_id, CallerOutcome::kConnectionLost);
+  PauseThenStartNext();
 }
 
 void SoakCaller::Close() {
@@ -168,12 +171,12 @@
   m_is_open = false;
 }
 
-void SoakCaller::PauseThenNext() {
+void SoakCaller::PauseThenStartNext() {
   m_id.clear();
-  std::uniform_int_distribution<int> spread(kPauseMs, 2 * kPauseMs);
-  m_timer.expires_after(milliseconds(spread(m_random)));
+  std::uniform_int_distribution<int> distribution(kMinPauseMs, 2 * kMinPauseMs);
+  m_timer.expires_after(milliseconds(distribution(m_random)));
   m_timer.async_wait(
-      [self = shared_from_this()](std::error_code) { self->Next(); });
+      [self = shared_from_this()](std::error_code) { self->StartNext(); });
 }
 
 int SoakCaller::OnField(http_parser* parser, const char* at, size_t length) {
--- a/soak/soak_caller.h
+++ b/soak/soak_caller.h
@@ -1,4 +1,4 @@
-/// @file soak_caller.h A caller with one kept connection.
+/// @file soak_caller.h Caller that sends requests on a persistent connection.
 
 #ifndef SORRELPLANK_SOAK_SOAK_CALLER_H_
 #define SORRELPLANK_SOAK_SOAK_CALLER_H_
@@ -19,44 +19,45 @@
 
 class Ledger;
 
-/// An entry VM as callers know it.
+/// Name and address of an entry VM.
 struct CallerTarget {
   std::string m_vm;
   asio::ip::tcp::endpoint m_address;
 };
 
-/// Sends one request after the other on a connection that it keeps until the
-/// entry VM closes it or its process is gone. Each send has an id of its own; a
-/// caller repeats nothing.
+/// Sends one request after the other on a persistent connection, which it keeps
+/// until the entry VM closes it or its process ends. Each request has an id of
+/// its own and is never retried.
 class SoakCaller : public std::enable_shared_from_this<SoakCaller> {
  public:
-  /// Names the entry VM for a new connection.
+  /// Selects the entry VM for a new connection.
   using TargetPicker = std::function<CallerTarget()>;
-  /// Told of each connection that ended without an answer, before the ledger.
-  using CutHandler = std::function<void(const std::string& id)>;
+  /// Called for each connection that ended without a response, before the
+  /// ledger records it.
+  using ConnectionLostHandler = std::function<void(const std::string& id)>;
 
   SoakCaller(asio::io_context& io,
              Ledger& ledger,
              std::string name,
              TargetPicker pick,
-             CutHandler on_cut);
+             ConnectionLostHandler on_connection_lost);
 
-  void Start() { Next(); }
-  /// No further requests; the one under way is awaited.
+  void Start() { StartNext(); }
+  /// Sends no further requests; the pending one is still awaited.
   void Stop() { m_is_stopped = true; }
   bool IsIdle() const { return m_id.empty(); }
 
  private:
-  void Next();
+  void StartNext();
   void Connect();
   void Send();
   void Read();
   void OnBytes(size_t bytes);
-  void OnAnswer();
-  /// The connection ended, or the caller's patience did.
+  void OnResponse();
+  /// The connection ended or the request timed out.
   void OnEnd();
   void Close();
-  void PauseThenNext();
+  void PauseThenStartNext();
 
   static int OnField(http_parser* parser, const char* at, size_t length);
   static int OnValue(http_parser* parser, const char* at, size_t length);
@@ -66,16 +67,16 @@
   Ledger& m_ledger;
   std::string m_name;
   TargetPicker m_pick;
-  CutHandler m_on_cut;
+  ConnectionLostHandler m_on_connection_lost;
   asio::ip::tcp::socket m_socket;
   asio::steady_timer m_timer;
-  asio::steady_timer m_limit;
+  asio::steady_timer m_timeout_timer;
   std::minstd_rand m_random;
   CallerTarget m_target;
   bool m_is_open = false;
   bool m_is_stopped = false;
   uint64_t m_count = 0;
-  /// Of the request under way; empty between requests.
+  /// Id of the pending request; empty between requests.
   std::string m_id;
   std::string m_bytes;
   http_parser m_parser{};
--- a/soak/soak_environment.cc
+++ b/soak/soak_environment.cc
@@ -1,6 +1,7 @@
-/// @file soak_world.cc Setting up, watching over processes, checking times.
+/// @file soak_environment.cc Setup, supervision of processes and checks of time
+/// bounds.
 
-#include "soak/soak_world.h"
+#include "soak/soak_environment.h"
 
 #include <unistd.h>
 
@@ -27,7 +28,7 @@
 constexpr int kCallers = 24;
 constexpr uint16_t kStorePort = 9400;
 constexpr uint16_t kStoreProxyPort = 9402;
-/// Limit of the organisation that asks for more.
+/// Rate limit, and burst, of the organisation that exceeds its limit.
 constexpr int kLimitPerSecond = 4;
 constexpr uint16_t kCallerPort = 8080;
 constexpr uint16_t kReadyPort = 8081;
@@ -37,23 +38,23 @@
 constexpr uint16_t kFeedPort = 8085;
 constexpr uint16_t kQuotaPort = 8086;
 constexpr uint16_t kServerPort = 8090;
-/// Bounds that the entry VMs are told, in seconds.
+/// Time bounds in the entry VMs' settings, in seconds.
 constexpr double kConfigApplyS = 2.5;
 constexpr double kDrainS = 2.5;
 constexpr double kGraceS = 6;
-/// Allowed beyond a bound before a breach is noted: this machine runs all the
-/// processes at once.
-constexpr Duration kSlack = milliseconds(700);
-/// Time after trouble from which the bounds hold again.
-constexpr Duration kContact = seconds(4);
-/// Until a stopped process must have ended, however busy the machine is.
-constexpr Duration kLongestStop = seconds(20);
+/// Tolerance beyond a time bound before a breach is recorded, as all processes
+/// share one machine.
+constexpr Duration kTimeSlack = milliseconds(700);
+/// Time after a disturbance until the time bounds hold again.
+constexpr Duration kContactTime = seconds(4);
+/// Time within which a stopped process must exit, however busy the machine is.
+constexpr Duration kMaxStopTime = seconds(20);
 constexpr Duration kPollInterval = milliseconds(20);
 
 Duration Bound(double bound_s) {
   return std::chrono::duration_cast<Duration>(
              std::chrono::duration<double>(bound_s)) +
-         kSlack;
+         kTimeSlack;
 }
 
 const char* RegionOf(const std::string& domain) {
@@ -70,10 +71,12 @@
 
 }  // namespace
 
-SoakWorld::SoakWorld(asio::io_context& io, WorldOptions options)
+SoakEnvironment::SoakEnvironment(asio::io_context& io,
+                                 EnvironmentOptions options)
     : m_io(io),
       m_options(std::move(options)),
-      // A network of its own for each process, so that two soaks do not meet.
+      // A loopback network per process id, so that concurrent soaks do not
+      // share addresses.
       m_network("127." + std::to_string(64 + getpid() % 128) + "." +
                 std::to_string(getpid() / 128 % 256) + "."),
       m_http(io),
@@ -95,9 +98,9 @@
           m_options.m_program,
           m_options.m_folder + "/" + entry.m_name + ".json",
           m_options.m_folder + "/" + entry.m_name + ".log");
-      entry.m_store = std::make_unique<FaultProxy>(
-          io, ProxyEnds{Endpoint(entry.m_ip, kStoreProxyPort),
-                        Endpoint(Ip(1), kStorePort)});
+      entry.m_store_proxy = std::make_unique<FaultProxy>(
+          io, ProxyEndpoints{Endpoint(entry.m_ip, kStoreProxyPort),
+                             Endpoint(Ip(1), kStorePort)});
       m_vms.push_back(std::move(entry));
     }
   }
@@ -109,34 +112,36 @@
             io,
             SoakServerSpec{service, domain, Ip(100 + number++), kServerPort},
             m_ledger,
-            [this](const std::string& id, const SoakServer& where) {
-              OnRun(id, where);
+            [this](const std::string& id, const SoakServer& run_server) {
+              OnRun(id, run_server);
             },
-            [this](const std::string& id, SoakServer& where) {
-              OnCrash(id, where);
+            [this](const std::string& id, SoakServer& run_server) {
+              OnCrash(id, run_server);
             },
             SoakServer::NoticeHandlers{
-                [this](const std::string& id, const SoakServer& where) {
-                  m_notices.Arrived(id, where, LifeOf(id), SteadyNow());
+                [this](const std::string& id, const SoakServer& run_server) {
+                  m_notices.OnArrival(id, run_server, ProcessOf(id),
+                                      SteadyNow());
                 },
-                [this](const std::string& id, const SoakServer& where,
+                [this](const std::string& id, const SoakServer& run_server,
                        const ServerNotice& notice) {
-                  m_notices.Asked(id, where, notice, LifeOf(id), SteadyNow());
+                  m_notices.OnNotice(id, run_server, notice, ProcessOf(id),
+                                     SteadyNow());
                 }}));
       }
     }
   }
 }
 
-SoakWorld::~SoakWorld() {
+SoakEnvironment::~SoakEnvironment() {
   *m_is_alive = false;
 }
 
-std::string SoakWorld::Ip(int last) const {
+std::string SoakEnvironment::Ip(int last) const {
   return m_network + std::to_string(last);
 }
 
-void SoakWorld::After(Duration time, std::function<void()> call) {
+void SoakEnvironment::ScheduleAfter(Duration time, std::function<void()> call) {
   auto timer = std::make_shared<asio::steady_timer>(m_io, time);
   timer->async_wait(
       [timer, is_alive = m_is_alive, call = std::move(call)](std::error_code) {
@@ -146,7 +151,7 @@
       });
 }
 
-void SoakWorld::WriteSettings(Vm& vm) {
+void SoakEnvironment::WriteSettings(Vm& vm) {
   json domains = json::object();
   for (const char* domain : kDomains) {
     domains[domain] = RegionOf(domain);
@@ -182,7 +187,7 @@
       << settings.dump(2);
 }
 
-void SoakWorld::PutConfig() {
+void SoakEnvironment::PutConfig() {
   ++m_version;
   json rows = json::array();
   const auto add = [&rows](const std::string& name, const char* kind,
@@ -193,9 +198,9 @@
   add("read", "idempotent", kServices[0]);
   add("write", "non_idempotent", kServices[1]);
   add("added" + std::to_string(m_version), "idempotent", kServices[0]);
-  json free_keys = json::array({kFreeKey});
+  json unlimited_keys = json::array({kUnlimitedKey});
   if (m_version % 2 == 0) {
-    free_keys.push_back(kPassingKey);
+    unlimited_keys.push_back(kTemporaryKey);
   }
   const json config = {
       {"Version", "r" + std::to_string(m_version)},
@@ -207,7 +212,7 @@
       {"Tenants",
        {{"Columns", {"Name", "ApiKeys", "RatePerS", "Burst"}},
         {"Rows",
-         {{kFreeOrganisation, free_keys, nullptr, nullptr},
+         {{kUnlimitedOrganisation, unlimited_keys, nullptr, nullptr},
           {kLimitedOrganisation, json::array({kLimitedKey}), kLimitPerSecond,
            kLimitPerSecond}}}}},
       {"Services",
@@ -216,7 +221,8 @@
   m_store.PutText(platform::kConfigKey, config.dump());
 }
 
-void SoakWorld::PutServerEntry(const SoakServer& server, const char* state) {
+void SoakEnvironment::PutServerEntry(const SoakServer& server,
+                                     const char* state) {
   m_store.PutText(platform::kServerPrefix + server.Instance(),
                   json{{"Service", server.Spec().m_service},
                        {"Address", server.Address()},
@@ -230,12 +236,13 @@
                       .dump());
 }
 
-void SoakWorld::RestartServer(SoakServer& server, const std::string& service) {
+void SoakEnvironment::RestartServer(SoakServer& server,
+                                    const std::string& service) {
   server.Restart("i-" + std::to_string(m_next_instance++), service);
   PutServerEntry(server, "ready");
 }
 
-void SoakWorld::Start() {
+void SoakEnvironment::Start() {
   PutConfig();
   for (const auto& server : m_servers) {
     RestartServer(*server, server->Spec().m_service);
@@ -245,35 +252,35 @@
     vm.m_child->Start();
   }
   Poll();
-  After(seconds(2), [this] {
+  ScheduleAfter(seconds(2), [this] {
     for (int number = 0; number < kCallers; ++number) {
       m_callers.push_back(std::make_shared<SoakCaller>(
           m_io, m_ledger, "c" + std::to_string(number),
           [this] { return PickTarget(); },
-          [this](const std::string& id) { OnCut(id); }));
+          [this](const std::string& id) { OnConnectionLost(id); }));
       m_callers.back()->Start();
     }
   });
 }
 
-void SoakWorld::StopCallers() {
+void SoakEnvironment::StopCallers() {
   for (const auto& caller : m_callers) {
     caller->Stop();
   }
 }
 
-bool SoakWorld::AreCallersIdle() const {
+bool SoakEnvironment::AreCallersIdle() const {
   return std::all_of(m_callers.begin(), m_callers.end(),
                      [](const auto& caller) { return caller->IsIdle(); });
 }
 
-void SoakWorld::Heal() {
+void SoakEnvironment::ClearFaults() {
   HttpRequest request;
   request.m_path = "/v1/fault";
   request.m_body = "{}";
   m_store.Serve(request, [](const HttpResponse&) {});
   for (Vm& vm : m_vms) {
-    vm.m_store->SetFault(LinkFault::kNone);
+    vm.m_store_proxy->SetFault(LinkFault::kNone);
     vm.m_child->Signal(SIGCONT);
     vm.m_is_paused = false;
   }
@@ -285,16 +292,16 @@
   }
 }
 
-std::string SoakWorld::CallerAddress(const Vm& vm) {
+std::string SoakEnvironment::CallerAddress(const Vm& vm) {
   return AddressText(vm.m_ip, kCallerPort);
 }
 
-CallerTarget SoakWorld::PickTarget() {
+CallerTarget SoakEnvironment::PickTarget() {
   const Vm& vm = m_vms[m_random() % m_vms.size()];
   return {vm.m_name, Endpoint(vm.m_ip, kCallerPort)};
 }
 
-void SoakWorld::Poll() {
+void SoakEnvironment::Poll() {
   for (Vm& vm : m_vms) {
     PollVm(vm);
   }
@@ -306,34 +313,35 @@
   });
 }
 
-void SoakWorld::PollVm(Vm& vm) {
+void SoakEnvironment::PollVm(Vm& vm) {
   const TimePoint now = SteadyNow();
-  const bool is_stopping = vm.m_stop_began != TimePoint::max();
-  if (is_stopping && now > vm.m_stop_began + kLongestStop) {
-    m_ledger.Breach("graceful stop", vm.m_name, "is a VM that does not end");
-    vm.m_stop_began = TimePoint::max();
+  const bool is_stopping = vm.m_stop_time != TimePoint::max();
+  if (is_stopping && now > vm.m_stop_time + kMaxStopTime) {
+    m_ledger.Breach("graceful stop", vm.m_name,
+                    "is a VM that did not exit after SIGTERM");
+    vm.m_stop_time = TimePoint::max();
     vm.m_child->Signal(SIGKILL);
   }
   const ChildExit end = vm.m_child->Poll();
   if (!end.m_has_exited) {
     return;
   }
-  // Until its libraries are loaded no program can set a handler, and SIGTERM
-  // ends it by default; it has not listened by then.
+  // While its libraries are loaded a program has no signal handler yet, so
+  // SIGTERM ends it by default; it has not started to listen by then.
   const bool was_stopped_while_loading =
-      is_stopping && end.m_signal == SIGTERM && !end.m_had_begun;
+      is_stopping && end.m_signal == SIGTERM && !end.m_has_written;
   const bool is_failed_stop =
       is_stopping && end.m_code != 0 && !was_stopped_while_loading;
-  if (!vm.m_end_is_expected || is_failed_stop) {
+  if (!vm.m_is_exit_expected || is_failed_stop) {
     m_ledger.Breach("no end of its own", vm.m_name,
-                    "is a VM that ended with code " +
+                    "is a VM that exited with code " +
                         std::to_string(end.m_code) + ", signal " +
                         std::to_string(end.m_signal));
   }
-  vm.m_end_is_expected = false;
-  vm.m_stop_began = TimePoint::max();
-  Trouble(vm, milliseconds(500));
-  After(milliseconds(300), [&vm] {
+  vm.m_is_exit_expected = false;
+  vm.m_stop_time = TimePoint::max();
+  MarkUnstable(vm, milliseconds(500));
+  ScheduleAfter(milliseconds(300), [&vm] {
     if (!vm.m_child->IsRunning()) {
       ++vm.m_starts;
       vm.m_child->Start();
@@ -341,76 +349,75 @@
   });
 }
 
-VmLife SoakWorld::LifeOf(const std::string& id) {
+VmProcess SoakEnvironment::ProcessOf(const std::string& id) {
   const CallerRequest* request = m_ledger.Find(id);
   const Vm* vm = request == nullptr ? nullptr : FindVm(request->m_vm);
-  return vm == nullptr ? VmLife() : VmLife{vm->m_name, vm->m_starts};
+  return vm == nullptr ? VmProcess() : VmProcess{vm->m_name, vm->m_starts};
 }
 
-SoakWorld::Vm* SoakWorld::FindVm(const std::string& name) {
+SoakEnvironment::Vm* SoakEnvironment::FindVm(const std::string& name) {
   const auto it = std::find_if(m_vms.begin(), m_vms.end(),
                                [&](const Vm& vm) { return vm.m_name == name; });
   return it == m_vms.end() ? nullptr : &*it;
 }
 
-SoakWorld::Vm& SoakWorld::AnyVm(Random& random) {
+SoakEnvironment::Vm& SoakEnvironment::RandomVm(Random& random) {
   return m_vms[random() % m_vms.size()];
 }
 
-SoakServer& SoakWorld::AnyServer(Random& random) {
+SoakServer& SoakEnvironment::RandomServer(Random& random) {
   return *m_servers[random() % m_servers.size()];
 }
 
-bool SoakWorld::IsCalm(const Vm& vm) const {
-  return SteadyNow() > vm.m_troubled_until + kContact;
+bool SoakEnvironment::IsStable(const Vm& vm) const {
+  return SteadyNow() > vm.m_unstable_until + kContactTime;
 }
 
-void SoakWorld::Trouble(Vm& vm, Duration time) {
-  vm.m_troubled_until = std::max(vm.m_troubled_until, SteadyNow() + time);
+void SoakEnvironment::MarkUnstable(Vm& vm, Duration time) {
+  vm.m_unstable_until = std::max(vm.m_unstable_until, SteadyNow() + time);
 }
 
-void SoakWorld::TroubleAll(Duration time) {
+void SoakEnvironment::MarkAllUnstable(Duration time) {
   for (Vm& vm : m_vms) {
-    Trouble(vm, time);
+    MarkUnstable(vm, time);
   }
 }
 
-void SoakWorld::OnRun(const std::string& id, const SoakServer& server) {
+void SoakEnvironment::OnRun(const std::string& id, const SoakServer& server) {
   const CallerRequest* request = m_ledger.Find(id);
   Vm* vm = request == nullptr ? nullptr : FindVm(request->m_vm);
   const TimePoint now = SteadyNow();
   const bool is_timed =
-      m_options.m_checks_times && vm != nullptr && IsCalm(*vm);
-  if (request != nullptr && CrashingRequests::Ends(request->m_path)) {
-    m_crashing.Runs(id, is_timed, now);
+      m_options.m_checks_times && vm != nullptr && IsStable(*vm);
+  if (request != nullptr && CrashingRequests::IsCrashingPath(request->m_path)) {
+    m_crashing.OnRunStart(id, is_timed, now);
   }
   if (!is_timed) {
     return;
   }
   const auto leaving = m_leaving.find(server.Instance());
   if (leaving != m_leaving.end() && now > leaving->second + Bound(kDrainS)) {
-    m_ledger.Breach(
-        "drain", id,
-        "reached " + server.Instance() + ", which leaves, from " + vm->m_name);
+    m_ledger.Breach("drain", id,
+                    "reached " + server.Instance() +
+                        ", which is leaving, from " + vm->m_name);
   }
   const auto evacuated = m_evacuated.find(server.Spec().m_failure_domain);
   if (evacuated != m_evacuated.end() &&
       now > evacuated->second + Bound(kDrainS)) {
     m_ledger.Breach("evacuation", id,
                     "reached " + server.Instance() +
-                        ", in an evacuated domain, from " + vm->m_name);
+                        ", in an evacuated failure domain, from " + vm->m_name);
   }
 }
 
-void SoakWorld::OnCut(const std::string& id) {
+void SoakEnvironment::OnConnectionLost(const std::string& id) {
   const CallerRequest* request = m_ledger.Find(id);
   Vm* vm = request == nullptr ? nullptr : FindVm(request->m_vm);
-  const bool is_stopping =
-      vm != nullptr && vm->m_stop_began != TimePoint::max();
-  if (m_options.m_checks_times && is_stopping && IsCalm(*vm) &&
+  const bool is_stopping = vm != nullptr && vm->m_stop_time != TimePoint::max();
+  if (m_options.m_checks_times && is_stopping && IsStable(*vm) &&
       request->m_runs > 0) {
     m_ledger.Breach("graceful stop", id,
-                    "ran and was cut off by the stop of " + vm->m_name);
+                    "ran but lost its connection to the stop of " + vm->m_name);
   }
 }
 
--- a/soak/soak_environment.h
+++ b/soak/soak_environment.h
@@ -1,7 +1,8 @@
-/// @file soak_world.h Entry VMs as processes, with everything around them.
+/// @file soak_environment.h Test environment: entry VMs as processes, with
+/// simulated backend servers, a store and callers.
 
-#ifndef SORRELPLANK_SOAK_SOAK_WORLD_H_
-#define SORRELPLANK_SOAK_SOAK_WORLD_H_
+#ifndef SORRELPLANK_SOAK_SOAK_ENVIRONMENT_H_
+#define SORRELPLANK_SOAK_SOAK_ENVIRONMENT_H_
 
 #include <asio.hpp>
 #include <cstdint>
@@ -19,44 +20,45 @@
 #include "soak/edge_child.h"
 #include "soak/fault_proxy.h"
 #include "soak/ledger.h"
-#include "soak/notice_watch.h"
+#include "soak/notice_checker.h"
 #include "soak/soak_caller.h"
 #include "soak/soak_server.h"
 #include "standin/store_standin.h"
 
 namespace sorrelplank::soak {
 
-/// How a world is set up.
-struct WorldOptions {
+/// Options of the environment.
+struct EnvironmentOptions {
   std::string m_program;
-  /// Settings and logs of the processes are written here.
+  /// Folder for the settings and logs of the processes.
   std::string m_folder;
-  /// Whether promises with a time bound are checked: not on a machine that is
-  /// busy with other work.
+  /// Whether guarantees with a time bound are checked; set it only on a machine
+  /// without other work.
   bool m_checks_times = false;
 };
 
 /// Six entry VMs in three failure domains, twelve backend servers of two
-/// services, a store, and callers. Its faults are what a schedule draws from;
-/// each one ends by itself.
-class SoakWorld {
+/// services, a store, and callers. Offers faults to a random schedule; each
+/// fault ends by itself.
+class SoakEnvironment {
  public:
   using Random = std::mt19937_64;
 
-  SoakWorld(asio::io_context& io, WorldOptions options);
-  ~SoakWorld();
+  SoakEnvironment(asio::io_context& io, EnvironmentOptions options);
+  ~SoakEnvironment();
 
-  /// Starts everything and callers; ready once each VM answers.
+  /// Starts servers and entry VMs at once and callers 2 s later; does not wait
+  /// until the VMs are ready.
   void Start();
   void StopCallers();
   bool AreCallersIdle() const;
-  /// Ends all faults at once.
-  void Heal();
+  /// Ends faults of the store, of links and of paused VMs at once.
+  void ClearFaults();
   Ledger& Records() { return m_ledger; }
   const CrashingRequests& Crashing() const { return m_crashing; }
-  const NoticeWatch& Notices() const { return m_notices; }
+  const NoticeChecker& Notices() const { return m_notices; }
 
-  // Planned work.
+  // Planned operations.
   void StopVm(Random& random);
   void DrainServer(Random& random);
   void ChangeConfig(Random& random);
@@ -81,28 +83,29 @@
   void RestartServerUnderItsId(Random& random);
   void OverwriteServerEntry(Random& random);
   void RepeatCrashingRequest(Random& random);
-  /// A server names a limit for some time.
+  /// A server sends a rate limit for some time.
   void NameLimit(Random& random);
-  /// A server says in its answers that it leaves, and ends later; the store is
-  /// not told.
+  /// A server announces in its responses that it is leaving, and ends later;
+  /// its store entry does not say so.
   void SayLeaving(Random& random);
-  /// A server turns requests away for some time, and asks for pauses.
+  /// A server rejects all requests for some time and asks for pauses.
   void AskForPause(Random& random);
 
  private:
-  /// One entry VM.
+  /// An entry VM, its process and its proxy to the store.
   struct Vm {
     std::string m_name;
     std::string m_domain;
     std::string m_ip;
     std::unique_ptr<EdgeChild> m_child;
-    std::unique_ptr<FaultProxy> m_store;
-    /// Its end is our doing; restarted once it has ended.
-    bool m_end_is_expected = false;
+    std::unique_ptr<FaultProxy> m_store_proxy;
+    /// The soak stopped or killed it; it is restarted after its exit.
+    bool m_is_exit_expected = false;
     bool m_is_paused = false;
-    TimePoint m_stop_began = TimePoint::max();
-    /// Promises with a time bound hold for it from then on.
-    TimePoint m_troubled_until{};
+    TimePoint m_stop_time = TimePoint::max();
+    /// End of the last known disturbance; guarantees with a time bound hold
+    /// from the contact time after it.
+    TimePoint m_unstable_until{};
     int m_settings_number = 0;
     int m_starts = 0;
     TimePoint m_paused_until{};
@@ -116,35 +119,38 @@
   void Poll();
   void PollVm(Vm& vm);
   void OnRun(const std::string& id, const SoakServer& server);
-  void OnCut(const std::string& id);
-  /// The process that a caller sent the request to.
-  VmLife LifeOf(const std::string& id);
-  /// A server asks for something for some time.
-  void AskFor(SoakServer& server, const ServerNotice& notice, Duration time);
-  /// Ends a server; its entry lapses, and it is back after the time given.
-  void EndServer(SoakServer& server, Duration down);
+  void OnConnectionLost(const std::string& id);
+  /// The process of the entry VM that received the request.
+  VmProcess ProcessOf(const std::string& id);
+  /// Sets a server's notice and clears it after this time.
+  void SetTemporaryNotice(SoakServer& server,
+                          const ServerNotice& notice,
+                          Duration time);
+  /// Crashes a server and restarts it after this time; its store entry is
+  /// removed when its lease would expire.
+  void TakeServerDown(SoakServer& server, Duration down);
   void OnCrash(const std::string& id, SoakServer& server);
-  void AskCrashing(const std::string& path, int attempt, uint64_t seed);
-  void EndAttempt(const std::string& id, const HttpResult& result);
+  void SendCrashingRequest(const std::string& path, int attempt, uint64_t seed);
+  void OnAttemptResult(const std::string& id, const HttpResult& result);
   CallerTarget PickTarget();
-  /// Where a VM takes callers' requests, "IP:PORT".
+  /// Address for callers' requests, "IP:PORT".
   static std::string CallerAddress(const Vm& vm);
-  bool IsCalm(const Vm& vm) const;
+  bool IsStable(const Vm& vm) const;
   Vm* FindVm(const std::string& name);
-  Vm& AnyVm(Random& random);
-  SoakServer& AnyServer(Random& random);
-  void Trouble(Vm& vm, Duration time);
-  void TroubleAll(Duration time);
-  /// Does something later; dropped when the world is gone.
-  void After(Duration time, std::function<void()> call);
+  Vm& RandomVm(Random& random);
+  SoakServer& RandomServer(Random& random);
+  void MarkUnstable(Vm& vm, Duration time);
+  void MarkAllUnstable(Duration time);
+  /// Calls the function after this time, unless the environment was destroyed.
+  void ScheduleAfter(Duration time, std::function<void()> call);
   std::string Ip(int last) const;
 
   asio::io_context& m_io;
-  WorldOptions m_options;
+  EnvironmentOptions m_options;
   std::string m_network;
   Ledger m_ledger;
   CrashingRequests m_crashing{m_ledger};
-  NoticeWatch m_notices{m_ledger, m_options.m_checks_times};
+  NoticeChecker m_notices{m_ledger, m_options.m_checks_times};
   HttpClient m_http;
   StoreStandin m_store;
   std::unique_ptr<HttpServer> m_store_server;
@@ -155,15 +161,16 @@
   std::minstd_rand m_random;
   uint64_t m_version = 0;
   uint64_t m_next_instance = 1;
-  int m_crashing_drawn = 0;
-  /// When the store took an instance's leaving, or a domain's evacuation.
+  int m_crashing_paths = 0;
+  /// When the store entry of an instance was set to draining, or the evacuation
+  /// of a failure domain was written.
   std::map<std::string, TimePoint> m_leaving;
   std::map<std::string, TimePoint> m_evacuated;
-  /// When something else wrote over a server's entry.
+  /// When a server's store entry was overwritten with foreign content.
   std::map<std::string, TimePoint> m_overwritten;
   std::shared_ptr<bool> m_is_alive = std::make_shared<bool>(true);
 };
 
 }  // namespace sorrelplank::soak
 
-#endif  // SORRELPLANK_SOAK_SOAK_WORLD_H_
+#endif  // SORRELPLANK_SOAK_SOAK_ENVIRONMENT_H_
--- a/soak/soak_faults.cc
+++ b/soak/soak_faults.cc
@@ -1,4 +1,4 @@
-/// @file soak_faults.cc Planned work and faults of the world.
+/// @file soak_faults.cc Planned operations and faults of the environment.
 
 #include <csignal>
 #include <iterator>
@@ -8,55 +8,60 @@
 #include "net/http_client.h"
 #include "platform/wire_names.h"
 #include "serve/clock_func.h"
+#include "soak/soak_environment.h"
 #include "soak/soak_keys.h"
-#include "soak/soak_world.h"
 
 namespace sorrelplank::soak {
 
 namespace {
 
-/// A time between two bounds.
-Duration Draw(SoakWorld::Random& random, Duration least, Duration most) {
-  std::uniform_int_distribution<int64_t> spread(least.count(), most.count());
-  return Duration(spread(random));
-}
-
-/// A server that leaves serves this long after the store took its word.
-constexpr Duration kLeavingServes = seconds(4);
-/// Entries of servers that crashed are gone after three missed heartbeats.
-constexpr Duration kEntryLapses = milliseconds(4500);
-/// A server that lives writes its entry again within a heartbeat.
+/// A uniformly distributed random time between two bounds, inclusive.
+Duration RandomDuration(SoakEnvironment::Random& random,
+                        Duration min_time,
+                        Duration max_time) {
+  std::uniform_int_distribution<int64_t> distribution(min_time.count(),
+                                                      max_time.count());
+  return Duration(distribution(random));
+}
+
+/// A draining server serves this long after its store entry says so.
+constexpr Duration kDrainTime = seconds(4);
+/// The entry of a crashed server is removed after this time: three missed
+/// heartbeats.
+constexpr Duration kEntryLifetime = milliseconds(4500);
+/// A running server writes its entry again within this time.
 constexpr Duration kHeartbeat = milliseconds(1500);
-/// A server that a request ended is back after this time.
-constexpr Duration kCrashedFor = seconds(3);
-/// How often a request that ends servers is repeated.
+/// A server that a request crashed, or that announced its leaving, restarts
+/// this long after its end.
+constexpr Duration kRestartDelay = seconds(3);
+/// How often a crashing request is sent.
 constexpr int kCrashingAttempts = 16;
-/// All VMs know of an entry, and of the one after it, also those that were cut
-/// off.
-constexpr Duration kNewsOfEntry = seconds(8);
+/// Time after which all VMs know of an entry and of its successor, also VMs
+/// that were cut off from the store.
+constexpr Duration kEntryPropagationTime = seconds(8);
 
 }  // namespace
 
-void SoakWorld::StopVm(Random& random) {
-  Vm& vm = AnyVm(random);
-  const bool is_running = vm.m_child->IsRunning() && !vm.m_end_is_expected;
+void SoakEnvironment::StopVm(Random& random) {
+  Vm& vm = RandomVm(random);
+  const bool is_running = vm.m_child->IsRunning() && !vm.m_is_exit_expected;
   if (!is_running || vm.m_is_paused) {
     return;
   }
-  vm.m_end_is_expected = true;
-  vm.m_stop_began = SteadyNow();
+  vm.m_is_exit_expected = true;
+  vm.m_stop_time = SteadyNow();
   vm.m_child->Signal(SIGTERM);
 }
 
-void SoakWorld::DrainServer(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::DrainServer(Random& random) {
+  SoakServer& server = RandomServer(random);
   const std::string instance = server.Instance();
   if (!server.IsUp() || m_leaving.contains(instance)) {
     return;
   }
   PutServerEntry(server, "draining");
   m_leaving[instance] = SteadyNow();
-  After(kLeavingServes, [this, &server, instance] {
+  ScheduleAfter(kDrainTime, [this, &server, instance] {
     m_store.RemoveKey(platform::kServerPrefix + instance);
     if (server.Instance() == instance) {
       RestartServer(server, server.Spec().m_service);
@@ -64,337 +69,346 @@
   });
 }
 
-void SoakWorld::ChangeConfig(Random&) {
+void SoakEnvironment::ChangeConfig(Random&) {
   PutConfig();
 }
 
-void SoakWorld::EvacuateDomain(Random& random) {
+void SoakEnvironment::EvacuateDomain(Random& random) {
   const std::string domain = random() % 2 == 0 ? "d1" : "d2";
   if (!m_evacuated.empty()) {
     return;
   }
   m_store.PutText(platform::kEvacuationPrefix + domain, "{}");
   m_evacuated[domain] = SteadyNow();
-  After(Draw(random, seconds(3), seconds(6)), [this, domain] {
+  ScheduleAfter(RandomDuration(random, seconds(3), seconds(6)), [this, domain] {
     m_store.RemoveKey(platform::kEvacuationPrefix + domain);
     m_evacuated.erase(domain);
   });
 }
 
-void SoakWorld::ReloadSettings(Random& random) {
-  Vm& vm = AnyVm(random);
+void SoakEnvironment::ReloadSettings(Random& random) {
+  Vm& vm = RandomVm(random);
   ++vm.m_settings_number;
   WriteSettings(vm);
   vm.m_child->Signal(SIGHUP);
 }
 
-void SoakWorld::KillVm(Random& random) {
-  Vm& vm = AnyVm(random);
-  vm.m_end_is_expected = true;
+void SoakEnvironment::KillVm(Random& random) {
+  Vm& vm = RandomVm(random);
+  vm.m_is_exit_expected = true;
   vm.m_is_paused = false;
-  vm.m_stop_began = TimePoint::max();
-  Trouble(vm, seconds(1));
+  vm.m_stop_time = TimePoint::max();
+  MarkUnstable(vm, seconds(1));
   vm.m_child->Signal(SIGKILL);
 }
 
-void SoakWorld::KillAllVms(Random&) {
+void SoakEnvironment::KillAllVms(Random&) {
   for (Vm& vm : m_vms) {
-    vm.m_end_is_expected = true;
+    vm.m_is_exit_expected = true;
     vm.m_is_paused = false;
-    vm.m_stop_began = TimePoint::max();
+    vm.m_stop_time = TimePoint::max();
     vm.m_child->Signal(SIGKILL);
   }
-  TroubleAll(seconds(1));
+  MarkAllUnstable(seconds(1));
 }
 
-void SoakWorld::PauseVm(Random& random) {
-  Vm& vm = AnyVm(random);
-  if (vm.m_end_is_expected || vm.m_is_paused) {
+void SoakEnvironment::PauseVm(Random& random) {
+  Vm& vm = RandomVm(random);
+  if (vm.m_is_exit_expected || vm.m_is_paused) {
     return;
   }
-  const Duration time = Draw(random, milliseconds(300), seconds(5));
+  const Duration time = RandomDuration(random, milliseconds(300), seconds(5));
   vm.m_is_paused = true;
   vm.m_paused_until = SteadyNow() + time;
-  Trouble(vm, time);
+  MarkUnstable(vm, time);
   vm.m_child->Signal(SIGSTOP);
-  After(time, [&vm] {
+  ScheduleAfter(time, [&vm] {
     vm.m_child->Signal(SIGCONT);
     vm.m_is_paused = false;
   });
 }
 
-void SoakWorld::CrashServer(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::CrashServer(Random& random) {
+  SoakServer& server = RandomServer(random);
   if (!server.IsUp()) {
     return;
   }
-  TroubleAll(seconds(1));
-  EndServer(server, Draw(random, milliseconds(500), seconds(6)));
+  MarkAllUnstable(seconds(1));
+  TakeServerDown(server, RandomDuration(random, milliseconds(500), seconds(6)));
 }
 
-void SoakWorld::AskFor(SoakServer& server,
-                       const ServerNotice& notice,
-                       Duration time) {
-  server.Ask(notice);
-  After(time, [&server, life = server.Life()] {
-    if (server.Life() == life) {
-      server.Ask({});
+void SoakEnvironment::SetTemporaryNotice(SoakServer& server,
+                                         const ServerNotice& notice,
+                                         Duration time) {
+  server.SetNotice(notice);
+  ScheduleAfter(time, [&server, generation = server.Generation()] {
+    if (server.Generation() == generation) {
+      server.SetNotice({});
     }
   });
 }
 
-void SoakWorld::NameLimit(Random& random) {
-  SoakServer& server = AnyServer(random);
-  if (!server.IsUp() || server.Asks().m_is_leaving) {
+void SoakEnvironment::NameLimit(Random& random) {
+  SoakServer& server = RandomServer(random);
+  if (!server.IsUp() || server.CurrentNotice().m_is_leaving) {
     return;
   }
   ServerNotice notice;
   notice.m_most_per_second = 1.5 + static_cast<double>(random() % 20) / 2;
-  AskFor(server, notice, Draw(random, seconds(2), seconds(15)));
+  SetTemporaryNotice(server, notice,
+                     RandomDuration(random, seconds(2), seconds(15)));
 }
 
-void SoakWorld::SayLeaving(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::SayLeaving(Random& random) {
+  SoakServer& server = RandomServer(random);
   if (!server.IsUp()) {
     return;
   }
   ServerNotice notice;
   notice.m_is_leaving = true;
-  server.Ask(notice);
-  After(Draw(random, seconds(3), seconds(8)),
-        [this, &server, life = server.Life()] {
-          if (server.Life() == life) {
-            TroubleAll(seconds(1));
-            EndServer(server, kCrashedFor);
-          }
-        });
-}
-
-void SoakWorld::AskForPause(Random& random) {
-  SoakServer& server = AnyServer(random);
-  if (!server.IsUp() || server.Asks().m_is_leaving) {
+  server.SetNotice(notice);
+  ScheduleAfter(RandomDuration(random, seconds(3), seconds(8)),
+                [this, &server, generation = server.Generation()] {
+                  if (server.Generation() == generation) {
+                    MarkAllUnstable(seconds(1));
+                    TakeServerDown(server, kRestartDelay);
+                  }
+                });
+}
+
+void SoakEnvironment::AskForPause(Random& random) {
+  SoakServer& server = RandomServer(random);
+  if (!server.IsUp() || server.CurrentNotice().m_is_leaving) {
     return;
   }
   ServerNotice notice;
-  notice.m_pause = Draw(random, milliseconds(300), seconds(4));
-  AskFor(server, notice, Draw(random, seconds(1), seconds(5)));
+  notice.m_pause = RandomDuration(random, milliseconds(300), seconds(4));
+  SetTemporaryNotice(server, notice,
+                     RandomDuration(random, seconds(1), seconds(5)));
 }
 
-void SoakWorld::EndServer(SoakServer& server, Duration down) {
+void SoakEnvironment::TakeServerDown(SoakServer& server, Duration down) {
   const std::string instance = server.Instance();
   server.Crash();
-  After(kEntryLapses, [this, instance] {
+  ScheduleAfter(kEntryLifetime, [this, instance] {
     m_store.RemoveKey(platform::kServerPrefix + instance);
   });
-  After(down, [this, &server, instance] {
+  ScheduleAfter(down, [this, &server, instance] {
     if (!server.IsUp() && server.Instance() == instance) {
       RestartServer(server, server.Spec().m_service);
     }
   });
 }
 
-void SoakWorld::RepeatCrashingRequest(Random& random) {
-  const std::string path = "/read/crash" + std::to_string(++m_crashing_drawn);
-  AskCrashing(path, 1, random());
+void SoakEnvironment::RepeatCrashingRequest(Random& random) {
+  const std::string path = "/read/crash" + std::to_string(++m_crashing_paths);
+  SendCrashingRequest(path, 1, random());
 }
 
-void SoakWorld::AskCrashing(const std::string& path,
-                            int attempt,
-                            uint64_t seed) {
+void SoakEnvironment::SendCrashingRequest(const std::string& path,
+                                          int attempt,
+                                          uint64_t seed) {
   Random random(seed);
-  const Vm& vm = AnyVm(random);
+  const Vm& vm = RandomVm(random);
   const ProxyNames names = platform::HeaderNames();
   const std::string id = path.substr(1) + "-" + std::to_string(attempt);
-  m_ledger.Sent(id, {.m_vm = vm.m_name,
-                     .m_path = path,
-                     .m_body = "",
-                     .m_organisation = kFreeOrganisation});
-  m_crashing.Asked(id, path, {vm.m_name, vm.m_starts});
+  m_ledger.RecordSent(id, {.m_vm = vm.m_name,
+                           .m_path = path,
+                           .m_body = "",
+                           .m_organisation = kUnlimitedOrganisation});
+  m_crashing.OnAttemptStart(id, path, {vm.m_name, vm.m_starts});
   HttpFetch fetch;
   fetch.m_url = "http://" + CallerAddress(vm) + path;
-  fetch.m_headers = {{"Host", "soak.example"},
-                     {names.m_request_id, id},
-                     {names.m_deadline_ms, "3000"},
-                     {names.m_credentials, std::string("Bearer ") + kFreeKey},
-                     {names.m_object, "1"}};
+  fetch.m_headers = {
+      {"Host", "soak.example"},
+      {names.m_request_id, id},
+      {names.m_deadline_ms, "3000"},
+      {names.m_credentials, std::string("Bearer ") + kUnlimitedKey},
+      {names.m_object, "1"}};
   fetch.m_timeout = seconds(4);
   fetch.m_fresh_connection = true;
   fetch.m_close_connection = true;
   m_http.Start(std::move(fetch), [this, id](const HttpResult& result) {
-    EndAttempt(id, result);
+    OnAttemptResult(id, result);
   });
   if (attempt < kCrashingAttempts) {
-    const Duration pause = Draw(random, milliseconds(50), milliseconds(500));
-    After(pause, [this, path, attempt, next = random()] {
-      AskCrashing(path, attempt + 1, next);
+    const Duration pause =
+        RandomDuration(random, milliseconds(50), milliseconds(500));
+    ScheduleAfter(pause, [this, path, attempt, next = random()] {
+      SendCrashingRequest(path, attempt + 1, next);
     });
   }
 }
 
-void SoakWorld::EndAttempt(const std::string& id, const HttpResult& result) {
+void SoakEnvironment::OnAttemptResult(const std::string& id,
+                                      const HttpResult& result) {
   const ProxyNames names = platform::HeaderNames();
   if (result.m_end != FetchEnd::kAnswered) {
     const bool is_connected = result.m_end != FetchEnd::kConnectFailed;
-    m_ledger.Ended(id,
-                   is_connected ? CallerEnd::kCut : CallerEnd::kNotAccepted);
+    m_ledger.RecordEnd(id, is_connected ? CallerOutcome::kConnectionLost
+                                        : CallerOutcome::kNotAccepted);
     return;
   }
   const HttpResponse& response = result.m_response;
   const std::string* echoed = FindField(response.m_headers, names.m_request_id);
-  m_ledger.Answered(id, {.m_status = response.m_status,
-                         .m_has_stamp = FindField(response.m_headers,
-                                                  names.m_stamp) != nullptr,
-                         .m_request_id = echoed == nullptr ? "" : *echoed,
-                         .m_body = response.m_body});
+  m_ledger.RecordResponse(
+      id,
+      {.m_status = response.m_status,
+       .m_has_stamp = FindField(response.m_headers, names.m_stamp) != nullptr,
+       .m_request_id = echoed == nullptr ? "" : *echoed,
+       .m_body = response.m_body});
   const Vm* vm = FindVm(m_ledger.Find(id)->m_vm);
-  if (SteadyNow() > vm->m_paused_until + kCrashedFor) {
-    m_crashing.Answered(id);
+  if (SteadyNow() > vm->m_paused_until + kRestartDelay) {
+    m_crashing.OnResponse(id);
   }
 }
 
-void SoakWorld::OnCrash(const std::string& id, SoakServer& server) {
+void SoakEnvironment::OnCrash(const std::string& id, SoakServer& server) {
   const TimePoint now = SteadyNow();
   const auto overwritten = m_overwritten.find(server.Instance());
   const bool is_overwritten = overwritten != m_overwritten.end() &&
-                              now < overwritten->second + kNewsOfEntry;
-  const bool is_told = !is_overwritten &&
-                       !m_leaving.contains(server.Instance()) &&
-                       !m_evacuated.contains(server.Spec().m_failure_domain);
-  m_crashing.Ended(id, is_told, now);
-  EndServer(server, kCrashedFor);
+                              now < overwritten->second + kEntryPropagationTime;
+  const bool is_in_service =
+      !is_overwritten && !m_leaving.contains(server.Instance()) &&
+      !m_evacuated.contains(server.Spec().m_failure_domain);
+  m_crashing.OnServerCrash(id, is_in_service, now);
+  TakeServerDown(server, kRestartDelay);
 }
 
-void SoakWorld::RestartServerUnderItsId(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::RestartServerUnderItsId(Random& random) {
+  SoakServer& server = RandomServer(random);
   const std::string instance = server.Instance();
   if (!server.IsUp() || m_leaving.contains(instance)) {
     return;
   }
-  TroubleAll(seconds(1));
+  MarkAllUnstable(seconds(1));
   server.Crash();
-  const Duration down = Draw(random, milliseconds(100), seconds(4));
-  After(down, [this, &server, instance] {
+  const Duration down = RandomDuration(random, milliseconds(100), seconds(4));
+  ScheduleAfter(down, [this, &server, instance] {
     if (!server.IsUp() && server.Instance() == instance) {
-      TroubleAll(seconds(1));
+      MarkAllUnstable(seconds(1));
       server.Restart(instance, server.Spec().m_service);
       PutServerEntry(server, "ready");
     }
   });
 }
 
-void SoakWorld::OverwriteServerEntry(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::OverwriteServerEntry(Random& random) {
+  SoakServer& server = RandomServer(random);
   const std::string instance = server.Instance();
   if (!server.IsUp() || m_leaving.contains(instance)) {
     return;
   }
   m_overwritten[instance] = SteadyNow();
-  constexpr const char* kForeign[] = {"", "{", "[]", "\xff\xfe\x01",
-                                      R"({"State":"ready"})"};
+  constexpr const char* kInvalidEntries[] = {"", "{", "[]", "\xff\xfe\x01",
+                                             R"({"State":"ready"})"};
   m_store.PutText(platform::kServerPrefix + instance,
-                  kForeign[random() % std::size(kForeign)]);
-  After(kHeartbeat, [this, &server, instance] {
-    const bool is_same = server.IsUp() && server.Instance() == instance;
-    if (is_same && !m_leaving.contains(instance)) {
+                  kInvalidEntries[random() % std::size(kInvalidEntries)]);
+  ScheduleAfter(kHeartbeat, [this, &server, instance] {
+    const bool is_same_run = server.IsUp() && server.Instance() == instance;
+    if (is_same_run && !m_leaving.contains(instance)) {
       PutServerEntry(server, "ready");
     }
   });
 }
 
-void SoakWorld::ReuseAddress(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::ReuseAddress(Random& random) {
+  SoakServer& server = RandomServer(random);
   if (!server.IsUp()) {
     return;
   }
-  // The entry of the old instance stays for a while, under the same address.
+  // The entry of the old instance remains for a while, with the same address.
   const std::string instance = server.Instance();
   const bool reads = server.Spec().m_service == "reads";
-  TroubleAll(seconds(1));
+  MarkAllUnstable(seconds(1));
   RestartServer(server, reads ? "writes" : "reads");
-  After(kEntryLapses, [this, instance] {
+  ScheduleAfter(kEntryLifetime, [this, instance] {
     m_store.RemoveKey(platform::kServerPrefix + instance);
   });
 }
 
-void SoakWorld::DelayServer(Random& random) {
-  SoakServer& server = AnyServer(random);
-  const Duration time = Draw(random, seconds(1), seconds(3));
-  server.Proxy().SetDelay(Draw(random, milliseconds(50), milliseconds(400)));
-  TroubleAll(time);
-  After(time, [&server] { server.Proxy().SetDelay({}); });
+void SoakEnvironment::DelayServer(Random& random) {
+  SoakServer& server = RandomServer(random);
+  const Duration time = RandomDuration(random, seconds(1), seconds(3));
+  server.Proxy().SetDelay(
+      RandomDuration(random, milliseconds(50), milliseconds(400)));
+  MarkAllUnstable(time);
+  ScheduleAfter(time, [&server] { server.Proxy().SetDelay({}); });
 }
 
-void SoakWorld::ResetServer(Random& random) {
-  TroubleAll(milliseconds(100));
-  AnyServer(random).Proxy().ResetAll();
+void SoakEnvironment::ResetServer(Random& random) {
+  MarkAllUnstable(milliseconds(100));
+  RandomServer(random).Proxy().ResetAll();
 }
 
-void SoakWorld::SilenceServer(Random& random) {
-  SoakServer& server = AnyServer(random);
+void SoakEnvironment::SilenceServer(Random& random) {
+  SoakServer& server = RandomServer(random);
   if (!server.IsUp()) {
     return;
   }
-  const Duration time = Draw(random, seconds(1), seconds(4));
-  TroubleAll(time);
-  server.Proxy().SetFault(random() % 2 == 0 ? LinkFault::kSilent
-                                            : LinkFault::kSilentBackward);
-  After(time, [&server] {
+  const Duration time = RandomDuration(random, seconds(1), seconds(4));
+  MarkAllUnstable(time);
+  server.Proxy().SetFault(random() % 2 == 0 ? LinkFault::kDropAll
+                                            : LinkFault::kDropResponses);
+  ScheduleAfter(time, [&server] {
     if (server.IsUp()) {
       server.Proxy().SetFault(LinkFault::kNone);
-      // What was dropped in the middle of a connection never comes.
+      // Data that was dropped is never sent again, so these connections cannot
+      // continue.
       server.Proxy().ResetAll();
     }
   });
 }
 
-void SoakWorld::CutVmFromStore(Random& random) {
-  Vm& vm = AnyVm(random);
-  const Duration time = Draw(random, seconds(1), seconds(5));
-  constexpr LinkFault kFaults[] = {LinkFault::kRefuse, LinkFault::kSilent,
-                                   LinkFault::kSilentBackward};
-  Trouble(vm, time);
-  vm.m_store->SetFault(kFaults[random() % std::size(kFaults)]);
-  vm.m_store->ResetAll();
-  After(time, [&vm] {
-    vm.m_store->SetFault(LinkFault::kNone);
-    vm.m_store->ResetAll();
+void SoakEnvironment::CutVmFromStore(Random& random) {
+  Vm& vm = RandomVm(random);
+  const Duration time = RandomDuration(random, seconds(1), seconds(5));
+  constexpr LinkFault kFaults[] = {LinkFault::kRefuse, LinkFault::kDropAll,
+                                   LinkFault::kDropResponses};
+  MarkUnstable(vm, time);
+  vm.m_store_proxy->SetFault(kFaults[random() % std::size(kFaults)]);
+  vm.m_store_proxy->ResetAll();
+  ScheduleAfter(time, [&vm] {
+    vm.m_store_proxy->SetFault(LinkFault::kNone);
+    vm.m_store_proxy->ResetAll();
   });
 }
 
-void SoakWorld::StoreFault(const std::string& faults, Duration time) {
+void SoakEnvironment::StoreFault(const std::string& faults, Duration time) {
   HttpRequest request;
   request.m_path = "/v1/fault";
   request.m_body = faults;
-  TroubleAll(time);
+  MarkAllUnstable(time);
   m_store.Serve(request, [](const HttpResponse&) {});
 }
 
-void SoakWorld::StoreRefuses(Random& random) {
-  const Duration time = Draw(random, milliseconds(500), seconds(6));
+void SoakEnvironment::StoreRefuses(Random& random) {
+  const Duration time = RandomDuration(random, milliseconds(500), seconds(6));
   StoreFault(nlohmann::json{{"refuse_ms", time / milliseconds(1)}}.dump(),
              time);
 }
 
-void SoakWorld::StoreIsSilent(Random& random) {
-  const Duration time = Draw(random, milliseconds(500), seconds(6));
+void SoakEnvironment::StoreIsSilent(Random& random) {
+  const Duration time = RandomDuration(random, milliseconds(500), seconds(6));
   StoreFault(nlohmann::json{{"silent_ms", time / milliseconds(1)}}.dump(),
              time);
 }
 
-void SoakWorld::StoreIsSlow(Random& random) {
-  const Duration time = Draw(random, seconds(1), seconds(4));
-  const Duration delay = Draw(random, milliseconds(50), milliseconds(700));
+void SoakEnvironment::StoreIsSlow(Random& random) {
+  const Duration time = RandomDuration(random, seconds(1), seconds(4));
+  const Duration delay =
+      RandomDuration(random, milliseconds(50), milliseconds(700));
   StoreFault(nlohmann::json{{"delay_ms", delay / milliseconds(1)}}.dump(),
              time);
-  After(time, [this] { StoreFault("{}", {}); });
+  ScheduleAfter(time, [this] { StoreFault("{}", {}); });
 }
 
-void SoakWorld::StoreLosesAnswers(Random& random) {
+void SoakEnvironment::StoreLosesAnswers(Random& random) {
   StoreFault(nlohmann::json{{"lose_answers", 1 + random() % 5}}.dump(),
              seconds(3));
 }
 
-void SoakWorld::StoreForgetsHistory(Random&) {
+void SoakEnvironment::StoreForgetsHistory(Random&) {
   StoreFault(R"({"forget_history": true})", milliseconds(100));
 }
 
--- a/soak/soak_keys.h
+++ b/soak/soak_keys.h
@@ -1,4 +1,4 @@
-/// @file soak_keys.h Organisations of the soak, and the keys that callers show.
+/// @file soak_keys.h Organisations of the soak and the API keys of its callers.
 
 #ifndef SORRELPLANK_SOAK_SOAK_KEYS_H_
 #define SORRELPLANK_SOAK_SOAK_KEYS_H_
@@ -9,32 +9,32 @@
 namespace sorrelplank::soak {
 
 struct SoakKey {
-  /// Part of the requests that show it.
+  /// Percentage of requests sent with this key.
   unsigned m_percent;
   const char* m_key;
-  /// Whose it is; empty: nobody's.
+  /// Owner of the key; empty: the key is unknown.
   const char* m_organisation;
 };
 
-/// Has no limit.
-inline constexpr const char* kFreeOrganisation = "acme";
-inline constexpr const char* kFreeKey = "key-of-acme";
-/// Its callers ask for more than its limit.
+/// Organisation without a rate limit.
+inline constexpr const char* kUnlimitedOrganisation = "acme";
+inline constexpr const char* kUnlimitedKey = "key-of-acme";
+/// Organisation whose callers send more than its rate limit.
 inline constexpr const char* kLimitedOrganisation = "byte";
 inline constexpr const char* kLimitedKey = "key-of-byte";
-/// In every other version only.
-inline constexpr const char* kPassingKey = "passing-key-of-acme";
+/// Valid only in every other version of the configuration.
+inline constexpr const char* kTemporaryKey = "passing-key-of-acme";
 
-/// Most requests can be served, so that the soak sees when callers are served
-/// again.
+/// Most requests carry a valid key without a limit, so that the soak can detect
+/// when callers are served again.
 inline constexpr std::array<SoakKey, 4> kSoakKeys{{
-    {93, kFreeKey, kFreeOrganisation},
+    {93, kUnlimitedKey, kUnlimitedOrganisation},
     {3, kLimitedKey, kLimitedOrganisation},
-    {2, kPassingKey, kFreeOrganisation},
+    {2, kTemporaryKey, kUnlimitedOrganisation},
     {2, "key-of-nobody", ""},
 }};
 
-/// The key at a number from 0 to 99.
+/// Maps a number from 0 to 99 to a key, by the percentages.
 inline const SoakKey& KeyAt(unsigned number) {
   size_t at = 0;
   while (at + 1 < kSoakKeys.size() && number >= kSoakKeys[at].m_percent) {
--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -1,4 +1,4 @@
-/// @file soak_main.cc Runs entry VMs as processes under drawn faults.
+/// @file soak_main.cc Randomized fault injection with entry VMs as processes.
 
 #include <tclap/CmdLine.h>
 
@@ -9,61 +9,63 @@
 #include <vector>
 
 #include "serve/clock_func.h"
-#include "soak/soak_world.h"
+#include "soak/soak_environment.h"
 
 namespace sorrelplank::soak {
 namespace {
 
 namespace fs = std::filesystem;
 
-/// A kind of fault that a run may draw.
+/// A fault or planned operation that a run may select.
 struct FaultKind {
   const char* m_name;
   bool m_is_planned;
-  void (SoakWorld::*m_apply)(SoakWorld::Random&);
+  void (SoakEnvironment::*m_apply)(SoakEnvironment::Random&);
 };
 
 constexpr FaultKind kKinds[] = {
-    {"stop_vm", true, &SoakWorld::StopVm},
-    {"drain_server", true, &SoakWorld::DrainServer},
-    {"change_config", true, &SoakWorld::ChangeConfig},
-    {"evacuate_domain", true, &SoakWorld::EvacuateDomain},
-    {"reload_settings", true, &SoakWorld::ReloadSettings},
-    {"kill_vm", false, &SoakWorld::KillVm},
-    {"kill_all_vms", false, &SoakWorld::KillAllVms},
-    {"pause_vm", false, &SoakWorld::PauseVm},
-    {"crash_server", false, &SoakWorld::CrashServer},
-    {"reuse_address", false, &SoakWorld::ReuseAddress},
-    {"delay_server", false, &SoakWorld::DelayServer},
-    {"reset_server", false, &SoakWorld::ResetServer},
-    {"silence_server", false, &SoakWorld::SilenceServer},
-    {"cut_vm_from_store", false, &SoakWorld::CutVmFromStore},
-    {"store_refuses", false, &SoakWorld::StoreRefuses},
-    {"store_is_silent", false, &SoakWorld::StoreIsSilent},
-    {"store_is_slow", false, &SoakWorld::StoreIsSlow},
-    {"store_loses_answers", false, &SoakWorld::StoreLosesAnswers},
-    {"store_forgets_history", false, &SoakWorld::StoreForgetsHistory},
-    {"restart_server_under_its_id", false, &SoakWorld::RestartServerUnderItsId},
-    {"overwrite_server_entry", false, &SoakWorld::OverwriteServerEntry},
-    {"repeat_crashing_request", false, &SoakWorld::RepeatCrashingRequest},
-    {"name_limit", true, &SoakWorld::NameLimit},
-    {"say_leaving", true, &SoakWorld::SayLeaving},
-    {"ask_for_pause", true, &SoakWorld::AskForPause},
+    {"stop_vm", true, &SoakEnvironment::StopVm},
+    {"drain_server", true, &SoakEnvironment::DrainServer},
+    {"change_config", true, &SoakEnvironment::ChangeConfig},
+    {"evacuate_domain", true, &SoakEnvironment::EvacuateDomain},
+    {"reload_settings", true, &SoakEnvironment::ReloadSettings},
+    {"kill_vm", false, &SoakEnvironment::KillVm},
+    {"kill_all_vms", false, &SoakEnvironment::KillAllVms},
+    {"pause_vm", false, &SoakEnvironment::PauseVm},
+    {"crash_server", false, &SoakEnvironment::CrashServer},
+    {"reuse_address", false, &SoakEnvironment::ReuseAddress},
+    {"delay_server", false, &SoakEnvironment::DelayServer},
+    {"reset_server", false, &SoakEnvironment::ResetServer},
+    {"silence_server", false, &SoakEnvironment::SilenceServer},
+    {"cut_vm_from_store", false, &SoakEnvironment::CutVmFromStore},
+    {"store_refuses", false, &SoakEnvironment::StoreRefuses},
+    {"store_is_silent", false, &SoakEnvironment::StoreIsSilent},
+    {"store_is_slow", false, &SoakEnvironment::StoreIsSlow},
+    {"store_loses_answers", false, &SoakEnvironment::StoreLosesAnswers},
+    {"store_forgets_history", false, &SoakEnvironment::StoreForgetsHistory},
+    {"restart_server_under_its_id", false,
+     &SoakEnvironment::RestartServerUnderItsId},
+    {"overwrite_server_entry", false, &SoakEnvironment::OverwriteServerEntry},
+    {"repeat_crashing_request", false, &SoakEnvironment::RepeatCrashingRequest},
+    {"name_limit", true, &SoakEnvironment::NameLimit},
+    {"say_leaving", true, &SoakEnvironment::SayLeaving},
+    {"ask_for_pause", true, &SoakEnvironment::AskForPause},
 };
 
-/// Time from the start of the processes until faults begin.
+/// Time from the start of the processes to the first fault.
 constexpr Duration kWarmUp = seconds(4);
-/// Pauses between faults.
-constexpr int kShortestPauseMs = 150;
-constexpr int kLongestPauseMs = 1200;
-/// After the last fault, callers must be served again within this time, on a
-/// machine however busy.
-constexpr Duration kLongestRecovery = seconds(40);
-/// Part of the requests of a second that must be answered for that.
-constexpr double kServedPart = 0.9;
-constexpr Duration kStep = milliseconds(50);
-
-/// What to run.
+/// Bounds of the random pause between faults.
+constexpr int kMinPauseMs = 150;
+constexpr int kMaxPauseMs = 1200;
+/// Time after the last fault within which callers must be served again, however
+/// busy the machine is.
+constexpr Duration kMaxRecoveryTime = seconds(40);
+/// Fraction of the requests of one second that must succeed for callers to
+/// count as served.
+constexpr double kMinServedFraction = 0.9;
+constexpr Duration kIdlePollInterval = milliseconds(50);
+
+/// Options of a run, from the command line.
 struct SoakOptions {
   std::string m_program;
   std::string m_folder;
@@ -74,40 +76,39 @@
   bool m_is_verbose = false;
 };
 
-/// One run: start, faults, recovery.
+/// One run with one seed: start, faults, recovery, report.
 class SoakRun {
  public:
   explicit SoakRun(const SoakOptions& options)
       : m_options(options),
         m_random(options.m_seed),
-        m_world(m_io,
-                {.m_program = options.m_program,
-                 .m_folder = options.m_folder,
-                 .m_checks_times = options.m_checks_times}) {}
+        m_environment(m_io,
+                      {.m_program = options.m_program,
+                       .m_folder = options.m_folder,
+                       .m_checks_times = options.m_checks_times}) {}
 
-  /// Whether every promise held.
+  /// Returns whether every guarantee held and any request succeeded.
   bool Run() {
-    m_world.Start();
-    Pass(kWarmUp);
+    m_environment.Start();
+    RunFor(kWarmUp);
     const TimePoint ends = SteadyNow() + m_options.m_length;
     while (SteadyNow() < ends) {
       DrawFault();
-      std::uniform_int_distribution<int> pause(kShortestPauseMs,
-                                               kLongestPauseMs);
-      Pass(milliseconds(pause(m_random)));
+      std::uniform_int_distribution<int> pause(kMinPauseMs, kMaxPauseMs);
+      RunFor(milliseconds(pause(m_random)));
     }
-    m_world.Heal();
+    m_environment.ClearFaults();
     CheckRecovery();
-    m_world.StopCallers();
+    m_environment.StopCallers();
     const TimePoint idle_by = SteadyNow() + seconds(10);
-    while (!m_world.AreCallersIdle() && SteadyNow() < idle_by) {
-      Pass(kStep);
+    while (!m_environment.AreCallersIdle() && SteadyNow() < idle_by) {
+      RunFor(kIdlePollInterval);
     }
     return Report();
   }
 
  private:
-  void Pass(Duration time) { m_io.run_for(time); }
+  void RunFor(Duration time) { m_io.run_for(time); }
 
   void DrawFault() {
     std::vector<const FaultKind*> kinds;
@@ -120,37 +121,38 @@
     if (m_options.m_is_verbose) {
       std::cout << "fault " << kind.m_name << std::endl;
     }
-    (m_world.*kind.m_apply)(m_random);
+    (m_environment.*kind.m_apply)(m_random);
   }
 
   void CheckRecovery() {
-    const TimePoint by = SteadyNow() + kLongestRecovery;
+    const TimePoint by = SteadyNow() + kMaxRecoveryTime;
     while (SteadyNow() < by) {
-      const LedgerCounts before = m_world.Records().Counts();
-      Pass(seconds(1));
-      const LedgerCounts& after = m_world.Records().Counts();
+      const LedgerCounts before = m_environment.Records().Counts();
+      RunFor(seconds(1));
+      const LedgerCounts& after = m_environment.Records().Counts();
       const auto sent = static_cast<double>(after.m_sent - before.m_sent);
       const auto served =
           static_cast<double>(after.m_success - before.m_success);
-      if (sent > 0 && served >= kServedPart * sent) {
+      if (sent > 0 && served >= kMinServedFraction * sent) {
         return;
       }
     }
-    m_world.Records().Breach("recovery", "-", "callers are not served again");
+    m_environment.Records().Breach("recovery", "-",
+                                   "callers were not served again in time");
   }
 
   bool Report() {
-    const LedgerCounts& counts = m_world.Records().Counts();
-    const auto& breaches = m_world.Records().Breaches();
+    const LedgerCounts& counts = m_environment.Records().Counts();
+    const auto& breaches = m_environment.Records().Breaches();
     std::cout << "soak: seed=" << m_options.m_seed << " sent=" << counts.m_sent
               << " success=" << counts.m_success
               << " not_run=" << counts.m_not_run
               << " failure=" << counts.m_failure << " cut=" << counts.m_cut
               << " not_accepted=" << counts.m_not_accepted
               << " runs=" << counts.m_runs
-              << " servers_ended=" << m_world.Crashing().ServersEnded()
-              << " asked_by_servers=" << m_world.Notices().AskedCount()
-              << " checked=" << m_world.Notices().CheckedCount()
+              << " servers_ended=" << m_environment.Crashing().ServerCrashes()
+              << " asked_by_servers=" << m_environment.Notices().NoticeCount()
+              << " checked=" << m_environment.Notices().CheckedCount()
               << " breaches=" << breaches.size() << std::endl;
     for (const std::string& breach : breaches) {
       std::cout << "  " << breach << "\n";
@@ -160,26 +162,26 @@
 
   SoakOptions m_options;
   asio::io_context m_io{1};
-  SoakWorld::Random m_random;
-  SoakWorld m_world;
+  SoakEnvironment::Random m_random;
+  SoakEnvironment m_environment;
 };
 
-/// Runs one seed in a folder of its own, which stays where a promise broke.
+/// Runs one seed in a temporary folder, which is kept where the run failed.
 bool RunSeed(SoakOptions options) {
   char folder[] = "/tmp/sorrelplank-soak-XXXXXX";
   if (mkdtemp(folder) == nullptr) {
-    std::cerr << "no folder for logs\n";
+    std::cerr << "cannot create a temporary folder for logs\n";
     return false;
   }
   options.m_folder = folder;
-  const bool is_good = SoakRun(options).Run();
-  if (is_good) {
+  const bool has_passed = SoakRun(options).Run();
+  if (has_passed) {
     std::error_code ignored;
     fs::remove_all(folder, ignored);
   } else {
     std::cout << "  logs of the processes: " << folder << std::endl;
   }
-  return is_good;
+  return has_passed;
 }
 
 int Main(int argc, char** argv) {
@@ -204,14 +206,14 @@
   line.parse(argc, argv);
   uint64_t broken = 0;
   for (uint64_t run = 0; run < runs.getValue(); ++run) {
-    const bool is_good = RunSeed({.m_program = program.getValue(),
-                                  .m_folder = "",
-                                  .m_seed = seed.getValue() + run,
-                                  .m_length = seconds(length.getValue()),
-                                  .m_checks_times = timed.getValue(),
-                                  .m_only_planned = planned.getValue(),
-                                  .m_is_verbose = verbose.getValue()});
-    broken += is_good ? 0 : 1;
+    const bool has_passed = RunSeed({.m_program = program.getValue(),
+                                     .m_folder = "",
+                                     .m_seed = seed.getValue() + run,
+                                     .m_length = seconds(length.getValue()),
+                                     .m_checks_times = timed.getValue(),
+                                     .m_only_planned = planned.getValue(),
+                                     .m_is_verbose = verbose.getValue()});
+    broken += has_passed ? 0 : 1;
   }
   std::cout << "soak: " << runs.getValue() << " runs, " << broken << " broken"
             << std::endl;
--- a/soak/soak_server.cc
+++ b/soak/soak_server.cc
@@ -1,4 +1,4 @@
-/// @file soak_server.cc Slots, queue, answers.
+/// @file soak_server.cc Slots, queue and responses of the simulated server.
 
 #include "soak/soak_server.h"
 
@@ -16,16 +16,16 @@
 namespace {
 
 constexpr size_t kSlots = 4;
-constexpr size_t kQueue = 8;
-/// A run takes this long, or up to three times as long.
-constexpr int kRunMs = 20;
+constexpr size_t kMaxQueued = 8;
+/// Minimum run time of a request; the maximum is three times this.
+constexpr int kMinRunMs = 20;
 constexpr int kUnavailable = 503;
 
 asio::ip::tcp::endpoint Endpoint(const std::string& ip, uint16_t port) {
   return {asio::ip::make_address(ip), port};
 }
 
-ProxyEnds EndsOf(const SoakServerSpec& spec) {
+ProxyEndpoints EndpointsOf(const SoakServerSpec& spec) {
   return {Endpoint(spec.m_ip, spec.m_port),
           Endpoint(spec.m_ip, static_cast<uint16_t>(spec.m_port + 1))};
 }
@@ -44,7 +44,7 @@
       m_on_run(std::move(on_run)),
       m_on_crash(std::move(on_crash)),
       m_notices(std::move(notices)),
-      m_proxy(io, EndsOf(m_spec)),
+      m_proxy(io, EndpointsOf(m_spec)),
       m_server(io,
                m_spec.m_ip,
                static_cast<uint16_t>(m_spec.m_port + 1),
@@ -59,7 +59,7 @@
 
 void SoakServer::Crash() {
   m_is_up = false;
-  ++m_life;
+  ++m_generation;
   m_notice = {};
   m_running = 0;
   m_queue.clear();
@@ -133,53 +133,56 @@
     Reject(request, reply, kUnavailable);
     return;
   }
-  Work work{std::move(request), std::move(reply)};
+  AcceptedRequest accepted{std::move(request), std::move(reply)};
   if (m_running < kSlots) {
-    Run(std::move(work));
-  } else if (m_queue.size() < kQueue) {
-    m_queue.push_back(std::move(work));
+    Run(std::move(accepted));
+  } else if (m_queue.size() < kMaxQueued) {
+    m_queue.push_back(std::move(accepted));
   } else {
-    Reject(work.m_request, work.m_reply, kUnavailable);
+    Reject(accepted.m_request, accepted.m_reply, kUnavailable);
   }
 }
 
-void SoakServer::Run(Work work) {
+void SoakServer::Run(AcceptedRequest accepted) {
   const ProxyNames names = platform::HeaderNames();
-  const std::string id = work.m_request.Header(names.m_request_id).value_or("");
-  m_ledger.Runs(
-      id,
-      {.m_server = m_instance,
-       .m_path = work.m_request.m_target,
-       .m_body = work.m_request.m_body,
-       .m_organisation =
-           work.m_request.Header(names.m_organisation).value_or(""),
-       .m_has_key = work.m_request.Header(names.m_credentials).has_value()});
+  const std::string id =
+      accepted.m_request.Header(names.m_request_id).value_or("");
+  m_ledger.RecordRun(
+      id, {.m_server = m_instance,
+           .m_path = accepted.m_request.m_target,
+           .m_body = accepted.m_request.m_body,
+           .m_organisation =
+               accepted.m_request.Header(names.m_organisation).value_or(""),
+           .m_has_key =
+               accepted.m_request.Header(names.m_credentials).has_value()});
   m_on_run(id, *this);
   ++m_running;
-  if (CrashingRequests::Ends(work.m_request.m_target)) {
+  if (CrashingRequests::IsCrashingPath(accepted.m_request.m_target)) {
     auto timer =
-        std::make_shared<asio::steady_timer>(m_io, milliseconds(kRunMs));
-    timer->async_wait([this, timer, life = m_life, id](std::error_code) {
-      if (life == m_life) {
-        m_on_crash(id, *this);
-      }
-    });
+        std::make_shared<asio::steady_timer>(m_io, milliseconds(kMinRunMs));
+    timer->async_wait(
+        [this, timer, generation = m_generation, id](std::error_code) {
+          if (generation == m_generation) {
+            m_on_crash(id, *this);
+          }
+        });
     return;
   }
-  std::uniform_int_distribution<int> spread(kRunMs, 3 * kRunMs);
+  std::uniform_int_distribution<int> distribution(kMinRunMs, 3 * kMinRunMs);
   auto timer = std::make_shared<asio::steady_timer>(
-      m_io, milliseconds(spread(m_random)));
-  timer->async_wait(
-      [this, timer, life = m_life, work = std::move(work)](std::error_code) {
-        if (life == m_life) {
-          Finish(work);
-        }
-      });
+      m_io, milliseconds(distribution(m_random)));
+  timer->async_wait([this, timer, generation = m_generation,
+                     accepted = std::move(accepted)](std::error_code) {
+    if (generation == m_generation) {
+      Finish(accepted);
+    }
+  });
 }
 
-void SoakServer::Finish(const Work& work) {
+void SoakServer::Finish(const AcceptedRequest& accepted) {
   const ProxyNames names = platform::HeaderNames();
-  const std::string id = work.m_request.Header(names.m_request_id).value_or("");
+  const std::string id =
+      accepted.m_request.Header(names.m_request_id).value_or("");
   HttpResponse response;
   response.m_headers = {{names.m_request_id, id},
                         {names.m_stamp, m_instance},
@@ -187,11 +190,11 @@
                                            std::to_string(m_queue.size()) +
                                            "," + std::to_string(kSlots)}};
   AddNotice(id, response);
-  response.m_body = Ledger::AnswerBody(id, work.m_request.m_target);
-  work.m_reply(std::move(response));
+  response.m_body = Ledger::ResponseBody(id, accepted.m_request.m_target);
+  accepted.m_reply(std::move(response));
   --m_running;
   if (!m_queue.empty()) {
-    Work next = std::move(m_queue.front());
+    AcceptedRequest next = std::move(m_queue.front());
     m_queue.pop_front();
     Run(std::move(next));
   }
--- a/soak/soak_server.h
+++ b/soak/soak_server.h
@@ -1,4 +1,5 @@
-/// @file soak_server.h A backend server of the soak, behind a proxy of its own.
+/// @file soak_server.h Simulated backend server of the soak, behind its own
+/// FaultProxy.
 
 #ifndef SORRELPLANK_SOAK_SOAK_SERVER_H_
 #define SORRELPLANK_SOAK_SOAK_SERVER_H_
@@ -19,28 +20,28 @@
 
 class Ledger;
 
-/// What a server is.
+/// Service, location and address of a server.
 struct SoakServerSpec {
   std::string m_service;
   std::string m_failure_domain;
   std::string m_ip;
-  /// The proxy's port; the server itself listens on the next one.
+  /// Port of the proxy; the server itself listens on the next port.
   uint16_t m_port = 0;
 };
 
-/// Runs requests in slots, with a short queue, and reports each run to the
-/// ledger. One instance at a time.
+/// Runs requests in a fixed number of slots with a short queue, and records
+/// each run in the ledger. Has one instance at a time.
 class SoakServer {
  public:
-  /// Told of each request that begins to run: its id and this server.
+  /// Called for each request that starts to run, with its id and this server.
   using RunHandler =
       std::function<void(const std::string& id, const SoakServer& server)>;
-  /// Told of a request that ends this server.
+  /// Called for a request that crashes this server.
   using CrashHandler =
       std::function<void(const std::string& id, SoakServer& server)>;
 
-  /// Told of each request that reaches this server, and of what an answer
-  /// asks.
+  /// Called for each request that reaches this server, and for each response
+  /// with a notice.
   struct NoticeHandlers {
     RunHandler m_on_arrival;
     std::function<void(const std::string& id,
@@ -61,39 +62,39 @@
   std::string Address() const;
   FaultProxy& Proxy() { return m_proxy; }
 
-  /// All that runs is lost, and connections are refused.
+  /// Drops all running and queued requests and refuses connections.
   void Crash();
-  /// Serves as a new run, under a new instance id or the one that it had, and
-  /// may be of another service.
+  /// Starts a new run, under a new or the previous instance id, for the same or
+  /// another service.
   void Restart(const std::string& instance, const std::string& service);
   bool IsUp() const { return m_is_up; }
-  /// Counts the runs.
-  uint64_t Life() const { return m_life; }
-  /// What it asks from now on; with a pause it turns all requests away. Ends
-  /// with the run.
-  void Ask(const ServerNotice& notice) {
+  /// Changes with every crash and restart.
+  uint64_t Generation() const { return m_generation; }
+  /// Sets the notice for responses from now on, until the run ends. With a
+  /// pause, all requests are rejected.
+  void SetNotice(const ServerNotice& notice) {
     m_notice = notice;
     ++m_notice_number;
   }
-  /// Counts what it asked for.
+  /// Number of notices set so far.
   uint64_t NoticeNumber() const { return m_notice_number; }
-  const ServerNotice& Asks() const { return m_notice; }
-  /// Unix time of the run's start.
+  const ServerNotice& CurrentNotice() const { return m_notice; }
+  /// Unix time at which the run started.
   milliseconds Started() const { return m_started; }
 
  private:
-  /// A request that runs or waits for a slot.
-  struct Work {
+  /// A request that runs or waits in the queue.
+  struct AcceptedRequest {
     HttpRequest m_request;
     HttpReply m_reply;
   };
 
   void Serve(HttpRequest request, HttpReply reply);
   void Reject(const HttpRequest& request, const HttpReply& reply, int status);
-  /// Adds what it asks to an answer.
+  /// Adds the headers of the notice to a response.
   void AddNotice(const std::string& id, HttpResponse& response);
-  void Run(Work work);
-  void Finish(const Work& work);
+  void Run(AcceptedRequest accepted);
+  void Finish(const AcceptedRequest& accepted);
 
   asio::io_context& m_io;
   SoakServerSpec m_spec;
@@ -108,9 +109,10 @@
   milliseconds m_started{};
   std::minstd_rand m_random;
   size_t m_running = 0;
-  std::list<Work> m_queue;
-  /// Counts lives, so that what an earlier one ran does not end in a later.
-  uint64_t m_life = 0;
+  std::list<AcceptedRequest> m_queue;
+  /// Lets timers of an earlier run recognise that it is over, so that its
+  /// requests do not finish in a later one.
+  uint64_t m_generation = 0;
   FaultProxy m_proxy;
   HttpServer m_server;
 };
--- a/tests/edge_child_test.cc
+++ b/tests/edge_child_test.cc
@@ -1,4 +1,5 @@
-/// @file edge_child_test.cc How the soak sees a process end.
+/// @file edge_child_test.cc Tests of starting child processes and of their exit
+/// status.
 
 #include "soak/edge_child.h"
 
@@ -19,7 +20,7 @@
 
 namespace fs = std::filesystem;
 
-/// A process that runs a shell script as if it were the program.
+/// Runs a shell script in place of the program.
 struct ChildFixture {
   fs::path m_folder;
 
@@ -30,7 +31,8 @@
   }
   ~ChildFixture() { fs::remove_all(m_folder); }
 
-  /// The end of a process that got SIGTERM once the script had gone so far.
+  /// Runs the script, sends SIGTERM once it has created the file "ready", and
+  /// returns the exit status.
   ChildExit EndOf(const std::string& script) const {
     const fs::path program = m_folder / "program";
     std::ofstream(program) << "#!/bin/sh\n" << script << "\n";
@@ -52,28 +54,29 @@
   }
 };
 
-// A VM is told to stop some milliseconds after its start, while its libraries
-// are loaded. No program can handle a signal then; it ends by the signal, and
-// has not listened yet.
-Test(EdgeChild, SigtermBeforeItsFirstLine_End_HadNotBegun) {
+// A VM stopped a few milliseconds after its start is still loading its
+// libraries. No program can handle a signal then: it ends by the signal and has
+// not started to listen.
+Test(EdgeChild, SigtermBeforeFirstOutput_End_HasNotWritten) {
   const ChildFixture fixture;
   const ChildExit end =
       fixture.EndOf(fixture.TouchReady() + "; exec sleep 100");
   cr_assert_eq(end.m_signal, SIGTERM);
-  cr_assert_not(end.m_had_begun);
+  cr_assert_not(end.m_has_written);
 }
 
-// One that had begun and ends by the signal has failed to stop as planned.
-Test(EdgeChild, SigtermAfterItsFirstLine_End_HadBegun) {
+// A process that had written output and ends by the signal failed to stop
+// gracefully.
+Test(EdgeChild, SigtermAfterFirstOutput_End_HasWritten) {
   const ChildFixture fixture;
   const ChildExit end =
       fixture.EndOf("echo begun; " + fixture.TouchReady() + "; exec sleep 100");
   cr_assert_eq(end.m_signal, SIGTERM);
-  cr_assert(end.m_had_begun);
+  cr_assert(end.m_has_written);
 }
 
-// Guards against a port that stays taken while a process that was just begun
-// holds a copy of its listener.
+// Guards against a port that stays in use because a process that was just
+// started holds a copy of the listener.
 Test(EdgeChild, JustStarted_ListenerIsClosed_PortIsFree) {
   const ChildFixture fixture;
   asio::io_context io;
