--- a/soak/ledger.cc
+++ b/soak/ledger.cc
@@ -39,26 +39,27 @@
 }
 
 void Ledger::RecordResponse(const std::string& id,
-                            const CallerResponse& answer) {
+                            const CallerResponse& response) {
   const auto it = m_requests.find(id);
   if (it == m_requests.end() || it->second.m_end != CallerOutcome::kPending) {
     Breach("own answer", id, "received a response that it did not wait for");
     return;
   }
-  if (!answer.m_request_id.empty() && answer.m_request_id != id) {
-    Breach("own answer", id, "received the response to " + answer.m_request_id);
+  if (!response.m_request_id.empty() && response.m_request_id != id) {
+    Breach("own answer", id,
+           "received the response to " + response.m_request_id);
   }
-  const bool is_success = answer.m_status / 100 == 2;
-  if (is_success && (!answer.m_has_stamp ||
-                     answer.m_body != ResponseBody(id, it->second.m_path))) {
+  const bool is_success = response.m_status / 100 == 2;
+  if (is_success && (!response.m_has_stamp ||
+                     response.m_body != ResponseBody(id, it->second.m_path))) {
     Breach("whole answer", id,
            "received a successful response that no server sent");
   }
   if (is_success) {
     RecordEnd(id, CallerOutcome::kSuccess);
   } else {
-    RecordEnd(id, PromisesNotRun(answer.m_status) ? CallerOutcome::kNotRun
-                                                  : CallerOutcome::kFailure);
+    RecordEnd(id, PromisesNotRun(response.m_status) ? CallerOutcome::kNotRun
+                                                    : CallerOutcome::kFailure);
   }
 }
 
@@ -104,8 +105,9 @@
     Breach("nothing unasked", id,
            "runs at " + run.m_server + " with another path or body");
   }
-  const bool is_callers = request.m_organisation == run.m_organisation;
-  if (!is_callers || run.m_organisation.empty() || run.m_has_key) {
+  const bool is_same_organisation =
+      request.m_organisation == run.m_organisation;
+  if (!is_same_organisation || run.m_organisation.empty() || run.m_has_key) {
     Breach("who asks", id,
            "runs at " + run.m_server + " for '" + run.m_organisation +
                "' instead of '" + request.m_organisation + "', key " +
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -74,7 +74,7 @@
 class Ledger {
  public:
   void RecordSent(const std::string& id, CallerRequest request);
-  void RecordResponse(const std::string& id, const CallerResponse& answer);
+  void RecordResponse(const std::string& id, const CallerResponse& response);
   void RecordEnd(const std::string& id, CallerOutcome end);
 
   /// Records that a backend server starts to run a request.
--- a/soak/notice_checker.cc
+++ b/soak/notice_checker.cc
@@ -71,10 +71,11 @@
   }
   for (const Notice& notice : notices->second) {
     const CallerRequest* notified = m_ledger.Find(notice.m_request);
-    const bool is_bound = notice.m_vm == process && notified != nullptr &&
-                          WasRead(*notified, notice) &&
-                          request->m_sent_sequence > notified->m_end_sequence;
-    if (!is_bound) {
+    const bool is_notified =
+        notice.m_vm == process && notified != nullptr &&
+        WasRead(*notified, notice) &&
+        request->m_sent_sequence > notified->m_end_sequence;
+    if (!is_notified) {
       continue;
     }
     ++m_checked_count;
--- a/standin/load.cc
+++ b/standin/load.cc
@@ -178,8 +178,8 @@
     Lookup(request, 0);
   }
 
-  void Lookup(const PendingRequestPtr& request, size_t tries) {
-    if (tries > 6) {
+  void Lookup(const PendingRequestPtr& request, size_t attempts) {
+    if (attempts > 6) {
       Finish(request, "not_run", "no_lookup", false);
       return;
     }
@@ -190,25 +190,27 @@
                   std::to_string(kCallerPort) +
                   "/v1/lookup?client=" + request->m_client;
     fetch.m_timeout = kLookupTimeout;
-    m_client.Start(std::move(fetch), [this, request,
-                                      tries](const HttpResult& result) {
-      const json answer = json::parse(result.m_response.m_body, nullptr, false);
-      if (result.m_end != FetchEnd::kAnswered ||
-          result.m_response.m_status != 200 || answer["entry_vms"].empty()) {
-        Lookup(request, tries + 1);
-        return;
-      }
-      CachedLookup& cached = m_cached_lookups[request->m_client];
-      cached.m_vms.clear();
-      for (const json& vm : answer["entry_vms"]) {
-        cached.m_vms.push_back(
-            {vm["id"], vm["ip"].get<std::string>() + ":" + vm["port"].dump()});
-      }
-      cached.m_end_time =
-          Clock::now() + milliseconds(answer["ttl_ms"].get<int>());
-      request->m_vms = cached.m_vms;
-      Send(request);
-    });
+    m_client.Start(
+        std::move(fetch), [this, request, attempts](const HttpResult& result) {
+          const json response_body =
+              json::parse(result.m_response.m_body, nullptr, false);
+          if (result.m_end != FetchEnd::kAnswered ||
+              result.m_response.m_status != 200 ||
+              response_body["entry_vms"].empty()) {
+            Lookup(request, attempts + 1);
+            return;
+          }
+          CachedLookup& cached = m_cached_lookups[request->m_client];
+          cached.m_vms.clear();
+          for (const json& vm : response_body["entry_vms"]) {
+            cached.m_vms.push_back({vm["id"], vm["ip"].get<std::string>() +
+                                                  ":" + vm["port"].dump()});
+          }
+          cached.m_end_time =
+              Clock::now() + milliseconds(response_body["ttl_ms"].get<int>());
+          request->m_vms = cached.m_vms;
+          Send(request);
+        });
   }
 
   void Send(const PendingRequestPtr& request) {
@@ -257,9 +259,10 @@
     const std::string reason =
         HeaderValue(result.m_response, "sorrelplank-reason");
     if (verdict == "ran" && result.m_response.m_status == 200) {
-      const json answer = json::parse(result.m_response.m_body, nullptr, false);
-      const bool is_own =
-          answer.is_object() && answer.value("echo", "") == request->m_body;
+      const json response_body =
+          json::parse(result.m_response.m_body, nullptr, false);
+      const bool is_own = response_body.is_object() &&
+                          response_body.value("echo", "") == request->m_body;
       Finish(request, verdict, reason, !is_own);
       return;
     }
--- a/standin/prove.cc
+++ b/standin/prove.cc
@@ -100,14 +100,14 @@
     return "";
   }
   asio::write(socket, asio::buffer(text), error);
-  std::string answer;
+  std::string response;
   asio::steady_timer limit(io, std::chrono::milliseconds(700));
   std::array<char, 4096> buffer{};
   limit.async_wait([&](std::error_code) { socket.close(error); });
   std::function<void()> read = [&] {
     socket.async_read_some(asio::buffer(buffer),
                            [&](std::error_code end, size_t bytes) {
-                             answer.append(buffer.data(), bytes);
+                             response.append(buffer.data(), bytes);
                              if (end) {
                                limit.cancel();
                                return;
@@ -117,7 +117,7 @@
   };
   read();
   io.run();
-  return answer;
+  return response;
 }
 
 void SendBadInput(Context& context) {
@@ -144,10 +144,10 @@
        ""},
   };
   for (const auto& [text, expected] : cases) {
-    const std::string answer = SendRaw(vm.m_ip, kCallerPort, text);
-    context.Expect(answer.find(expected) != std::string::npos,
+    const std::string response = SendRaw(vm.m_ip, kCallerPort, text);
+    context.Expect(response.find(expected) != std::string::npos,
                    "bad input \"" + text.substr(0, 40) + "\" was answered \"" +
-                       answer.substr(0, 40) + "\"");
+                       response.substr(0, 40) + "\"");
   }
   SendRaw(vm.m_ip, kPeerPort, "this is no gRPC at all\r\n\r\n");
   SendRaw(vm.m_ip, kPeerPort,
