--- a/scripts/check_wire_names.sh
+++ b/scripts/check_wire_names.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fails where a name of the platform's wire stands outside platform/. Decoded
-# once, a name that the platform changes is changed in one place.
+# Fails if a name of the platform's wire protocol is used in src/, trial/ or bench/. Only
+# platform/ decodes these names, so that a name that the platform changes is changed in one place.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 pattern='sorrelplank-(tenant|expect-instance|server-stamp|server-load|affinity-key|not-executed|instance-id)'
--- a/scripts/install_packages.sh
+++ b/scripts/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages named as arguments, where any is missing.
+# Installs those of the given Debian packages that are missing.
 set -euo pipefail
 missing=()
 for package in "$@"; do
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over every source of the project; generated code is left out.
+# Runs clang-tidy on every source of the project except tests and generated code.
 set -euo pipefail
 build=$1
 jobs=$2
--- a/tests/known_red_test.cc
+++ b/tests/known_red_test.cc
@@ -1,4 +1,5 @@
-/// @file known_red_test.cc That the list of known failures hides nothing else.
+/// @file known_red_test.cc Tests that the list of known failures masks no other
+/// failure.
 
 #include <criterion/criterion.h>
 #include <sys/wait.h>
@@ -17,7 +18,7 @@
 constexpr const char* kListedLine =
     "S::Listed | make test | 1 of 2 failed | a cause | 7\n";
 
-/// A list, and a test runner that tells fixed results.
+/// A list of known failures and a test runner with fixed results.
 struct KnownRedFixture {
   fs::path m_folder;
 
@@ -34,7 +35,7 @@
     std::ofstream(m_folder / "list") << text;
   }
 
-  /// The runner's results, in the Test Anything Protocol, and its exit status.
+  /// Sets the runner's results, in the Test Anything Protocol, and exit status.
   void SetResults(const std::string& results, int status) const {
     std::ofstream(m_folder / "results") << results;
     std::ofstream(m_folder / "runner")
@@ -43,7 +44,7 @@
         << "done; exit " << status << "\n";
   }
 
-  /// Exit status of the script.
+  /// Runs the script and returns its exit status.
   int Run(const std::string& verb, const std::string& arguments) const {
     const std::string command =
         std::string(SOURCE_DIR) + "/scripts/known_red.sh " + verb + " " +
@@ -90,7 +91,7 @@
   cr_assert_neq(g_fixture->RunUnit(), 0);
 }
 
-// The name of the failing test begins like the listed one's.
+// The name of the failing test begins with the listed name.
 Test(KnownRed, TestWithLongerNameFails_Fails) {
   g_fixture->WriteList(kListedLine);
   g_fixture->SetResults(
@@ -98,7 +99,7 @@
   cr_assert_neq(g_fixture->RunUnit(), 0);
 }
 
-// The runner dies after the listed failure, before it told of the second test.
+// The runner ends after the listed failure, before it reports the second test.
 Test(KnownRed, RunnerEndsEarly_Fails) {
   g_fixture->WriteList(kListedLine);
   g_fixture->SetResults("1..2\nnot ok - S::Listed  (0.00s)\n", 1);
