--- a/src/serve/entry_process.cc
+++ b/src/serve/entry_process.cc
@@ -30,7 +30,7 @@
 
 constexpr Duration kTickInterval = milliseconds(5);
 /// Limit of the HTTP servers; not below any limit a configuration can set.
-constexpr size_t kMaxBodyBytes = 4U << 20U;
+constexpr size_t kBodyLimitBytes = 4U << 20U;
 constexpr std::string_view kCallPath = "/v1/call/";
 constexpr std::string_view kLookupPath = "/v1/lookup";
 
@@ -83,7 +83,7 @@
             m_io,
             settings.m_ip,
             settings.m_caller_port,
-            {kMaxBodyBytes, settings.m_max_header_bytes},
+            {kBodyLimitBytes, settings.m_max_header_bytes},
             [this](HttpRequest request, HttpReply reply) {
               ServeCaller(std::move(request), std::move(reply));
             },
@@ -94,7 +94,7 @@
             m_io,
             settings.m_ip,
             settings.m_operator_port,
-            {kMaxBodyBytes, settings.m_max_header_bytes},
+            {kBodyLimitBytes, settings.m_max_header_bytes},
             [this](const HttpRequest& request, const HttpReply& reply) {
               reply(m_operator.Answer(request));
             }) {
--- a/trial/baseline_run.cc
+++ b/trial/baseline_run.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int kMaxAttempts = 3;
+constexpr int kAttemptLimit = 3;
 
 /// A request that a baseline handles.
 struct Job {
@@ -58,7 +58,7 @@
       return;
     }
     FakeBackend* backend = Pick(job);
-    if (backend == nullptr || ++job.m_attempts > kMaxAttempts) {
+    if (backend == nullptr || ++job.m_attempts > kAttemptLimit) {
       ++m_simulation.m_result.m_not_run;
       return;
     }
