--- a/src/core/action_type.h
+++ b/src/core/action_type.h
@@ -56,7 +56,7 @@
   RequestId m_original;
 };
 
-/// Sends the caller the answer that another entry VM kept for the key.
+/// Sends the caller the answer that another entry VM has stored for the key.
 struct ReplayPeerAnswer {
   RequestId m_request;
   VmName m_vm;
--- a/src/core/backend_assignment.cc
+++ b/src/core/backend_assignment.cc
@@ -32,7 +32,7 @@
                    std::unordered_map<NameHash, VmName>& assignment) {
   std::sort(backends.begin(), backends.end());
   std::map<VmName, size_t> count;
-  const size_t most = (backends.size() + vms.size() - 1) / vms.size();
+  const size_t max_per_vm = (backends.size() + vms.size() - 1) / vms.size();
   for (const NameHash backend : backends) {
     const std::vector<VmName> ranked = RankVms(backend, vms);
     // If the servers of a service do not divide evenly, VMs with fewer servers
@@ -40,8 +40,8 @@
     // services could end up at the same VM.
     const auto chosen = std::min_element(
         ranked.begin(), ranked.end(), [&](const VmName& a, const VmName& b) {
-          const bool full_a = count[a] >= most;
-          const bool full_b = count[b] >= most;
+          const bool full_a = count[a] >= max_per_vm;
+          const bool full_b = count[b] >= max_per_vm;
           return full_a != full_b ? full_b : total[a] < total[b];
         });
     assignment[backend] = *chosen;
--- a/src/core/client_block_map.h
+++ b/src/core/client_block_map.h
@@ -38,7 +38,7 @@
   /// Memory used, in bytes.
   size_t MemoryBytes() const;
 
-  /// Number of ranges after flattening.
+  /// Number of ranges after flattening and splitting at bucket starts.
   size_t RangeCount() const { return m_starts.size(); }
 
  private:
--- a/src/core/event_type.h
+++ b/src/core/event_type.h
@@ -60,7 +60,7 @@
   std::shared_ptr<const Snapshot> m_snapshot;
 };
 
-/// Addresses of entry VMs for first contact, from the settings or the platform.
+/// Addresses of entry VMs for bootstrapping, from the settings or the platform.
 struct SeedsLearned {
   std::vector<VmAddress> m_seeds;
 };
--- a/src/core/holdings.cc
+++ b/src/core/holdings.cc
@@ -175,9 +175,9 @@
   if (m_known_at_pause.empty()) {
     return true;
   }
-  // A sibling that was alive all the time knows what happened during our pause.
-  // A new sibling, or a new process of an old one, does not: the VM that took
-  // over from us may have died since, with requests still running.
+  // A sibling that was alive all the time has heard of any takeover during our
+  // pause. A new sibling, or a new process of an old one, has not: the VM that
+  // took over from us may have died since, with requests still running.
   const NameHash place = view.m_snapshot.Get(view.m_place).m_hash;
   const auto& members = view.m_members.All();
   return std::any_of(members.begin(), members.end(), [&](const auto& item) {
@@ -212,7 +212,7 @@
       has_heard_claim = heard.m_incarnation == m_incarnation &&
                         heard.m_sequence >= entry.m_claim_sequence;
     } else if (!view.m_members.Knows(heard.m_name)) {
-      // It knows a sibling that has not been heard here yet.
+      // It lists a sibling that is unknown here and may hold the server.
       return false;
     }
   }
--- a/src/core/holdings.h
+++ b/src/core/holdings.h
@@ -21,8 +21,8 @@
 /// Tracks which backend servers of the place this entry VM holds, so that each
 /// server is dispatched to by one entry VM at a time and its slots are exact
 /// local state. The protocol:
-/// - The assignment over the live entry VMs of the place says who should hold a
-///   server.
+/// - The assignment over the live entry VMs of the place determines which VM
+///   should hold a server.
 /// - A holder that should no longer hold stops dispatching, completes what is
 ///   in flight, and then drops the server from the list in its heartbeat.
 /// - The VM that should hold claims first: it lists the server without
--- a/src/core/ids_type.h
+++ b/src/core/ids_type.h
@@ -29,7 +29,7 @@
 using ConfigVersion = StrongType<struct ConfigVersionTag, uint64_t>;
 /// Identifies a run of an entry VM's process; grows with each restart.
 using Incarnation = StrongType<struct IncarnationTag, uint64_t>;
-/// Group of callers that fairness counts as one.
+/// Group of callers that fairness counts as one: those of one /24 network.
 using CallerId = StrongType<struct CallerTag, uint32_t>;
 /// Hash of service, idempotency key and request content.
 using KeyHash = StrongType<struct KeyHashTag, uint64_t>;
--- a/src/core/key_memory_type.h
+++ b/src/core/key_memory_type.h
@@ -17,9 +17,9 @@
   kInProgress = 1,     ///< In progress here.
   kNotRun = 2,         ///< Ended; certainly did not run.
   kMayHaveRun = 3,     ///< Ended; may have run.
-  kRan = 4,            ///< Ran; the answer may still be kept.
+  kRan = 4,            ///< Ran; the answer may still be stored.
   kClaimedByPeer = 5,  ///< A peer was told that it may run the request.
-  kUnknown = 6,        ///< Cannot tell: records were removed early.
+  kUnknown = 6,        ///< Cannot tell: records were lost or removed early.
 };
 
 /// Record of a key.
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,4 +1,4 @@
-/// @file membership.h Table of entry VMs as one of them knows it.
+/// @file membership.h Table of the entry VMs known to one of them.
 
 #ifndef SORRELPLANK_CORE_MEMBERSHIP_H_
 #define SORRELPLANK_CORE_MEMBERSHIP_H_
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -136,7 +136,7 @@
   const auto attempt = m_attempts.find(event.m_attempt);
   if (attempt == m_attempts.end()) {
     // The attempt was abandoned and its caller has a final answer already.
-    // Dropping the event keeps late answers from reaching anybody.
+    // The event is dropped, so that a late answer is never delivered.
     ++m_counters.m_late_ends;
     return;
   }
@@ -232,8 +232,8 @@
   const ConfigVersion ours =
       m_snapshot ? m_snapshot->m_version : ConfigVersion();
   if (event.m_snapshot->m_version <= ours && m_safeguards.m_version_floor) {
-    // A restored store or a slow peer offers an old version. Going back would
-    // undo what operators were told is in force.
+    // A restored store or a slow peer offers an old version. Installing it
+    // would revert changes that operators were told are in force.
     Record(TimelineKind::kConfigRefused,
            "version " + std::to_string(event.m_snapshot->m_version.Get()) +
                " is not above " + std::to_string(ours.Get()));
--- a/src/core/node_membership.cc
+++ b/src/core/node_membership.cc
@@ -46,8 +46,8 @@
                                        bool wants_all,
                                        TimePoint now) {
   std::vector<VmRecord> records;
-  // Each record needs its own sequence number, since the receiver drops one
-  // that it has already seen.
+  // Each record needs its own sequence number, since the receiver drops a
+  // record with a number that it has already seen.
   ++m_sequence;
   records.push_back(SelfRecord());
   const bool is_sibling = place == m_identity.m_place;
@@ -146,8 +146,8 @@
 
 void Node::SendToSeed() {
   // Sends to one seed per heartbeat, in turn, skipping addresses of live
-  // members. This makes first contact, and finds places again after a network
-  // partition.
+  // members. This bootstraps the membership, and finds places again after a
+  // network partition.
   for (size_t tries = 0; tries < m_seeds.size(); ++tries) {
     const VmAddress seed = m_seeds[m_next_seed++ % m_seeds.size()];
     const bool is_live =
@@ -263,7 +263,7 @@
   // stopped listing it.
   const TimePoint last_use = m_stop_requested + ttl + kRemoteTimeout;
   // After a pause, or after a request that arrived in spite of the stop, more
-  // requests may wait in the sockets. Exiting at once would cut them off.
+  // requests may wait in the sockets. Exiting at once would drop them.
   const TimePoint quiet_since = std::max(m_last_arrival, m_resumed);
   if (m_now < last_use || m_now - quiet_since < kHeartbeatInterval) {
     return;
--- a/src/core/refusal_type.h
+++ b/src/core/refusal_type.h
@@ -19,7 +19,7 @@
   kBackendFailed,     ///< Attempts failed and no further one is allowed.
   kRepeatInProgress,  ///< A request with the same key is in progress.
   kRepeatUnsure,      ///< An earlier request with this key may have run.
-  kRepeatAnswerGone,  ///< It ran, but its answer is no longer kept.
+  kRepeatAnswerGone,  ///< It ran, but its answer is no longer stored.
   kSuperseded,        ///< A repeat of it was already accepted elsewhere.
   kCallerLeft,        ///< The caller closed the connection.
   kStopping,          ///< This entry VM is about to exit.
--- a/src/core/snapshot_type.h
+++ b/src/core/snapshot_type.h
@@ -64,15 +64,15 @@
   PlaceId m_place;
   std::string m_ip;
   uint16_t m_port = 0;
-  /// Maximum of concurrent requests: its configured slots, reduced to its part
+  /// Maximum of concurrent requests: its configured slots, reduced to its share
   /// of the request cap of the place.
   uint32_t m_slots = 0;
   uint32_t m_connections = 0;
-  /// Its part of the shift cap of the place. Parts are fixed by the
+  /// Its share of the shift cap of the place. Shares are fixed by the
   /// configuration, so their sum never exceeds the cap, whichever VMs hold the
   /// servers.
   uint32_t m_shift_share = 0;
-  /// Its part of the cap of each region's link to here, indexed by region.
+  /// Its share of the cap of each region's link to here, indexed by region.
   std::vector<uint32_t> m_link_shares;
   bool m_leaving = false;
 };
--- a/src/core/vm_record_type.h
+++ b/src/core/vm_record_type.h
@@ -33,7 +33,7 @@
   VmName m_name;
   Incarnation m_incarnation;
   uint64_t m_sequence = 0;
-  /// For siblings that do not know this VM yet.
+  /// Its address, for siblings that do not know it yet.
   VmAddress m_address;
 };
 
--- a/src/core/wait_queue.h
+++ b/src/core/wait_queue.h
@@ -25,7 +25,7 @@
 /// does not starve them.
 class WaitQueue {
  public:
-  /// Adds a request. Returns false if the queue or the caller's part of it is
+  /// Adds a request. Returns false if the queue or the caller's share of it is
   /// full.
   bool TryPush(const QueuedRequest& waiting, size_t limit);
 
--- a/src/pipeline/retry_filter.cc
+++ b/src/pipeline/retry_filter.cc
@@ -32,13 +32,13 @@
     return RetryDenied{RefusalReason::kDeadlinePassed, verdict};
   }
   if (call.m_handed_on) {
-    // The entry VM that forwarded it decides; it may know a better place.
+    // The entry VM that forwarded it decides; it may have a better route.
     return RetryDenied{RefusalReason::kBackendFailed, verdict};
   }
   if (outcome == AttemptOutcome::kPeerRefused ||
       outcome == AttemptOutcome::kPeerUnreachable) {
-    // No backend server was asked, so this does not count against the retry
-    // budget.
+    // No backend server ran the request, so this does not count against the
+    // retry budget.
     if (call.m_peer_attempts >= kMaxPeerAttempts) {
       return RetryDenied{RefusalReason::kNoCapacity, verdict};
     }
--- a/src/serve/call_gateway.cc
+++ b/src/serve/call_gateway.cc
@@ -36,12 +36,12 @@
                          HttpClient& http,
                          PeerClient& peers,
                          MetricsExport& metrics,
-                         size_t kept_answer_bytes)
+                         size_t max_stored_bytes)
     : m_driver(driver),
       m_http(http),
       m_peers(peers),
       m_metrics(metrics),
-      m_kept_responses(kept_answer_bytes),
+      m_stored_responses(max_stored_bytes),
       m_is_cut_off([](uint32_t) { return false; }) {
   m_driver.AddSink([this](const Action& action) { HandleAction(action); });
 }
@@ -149,11 +149,11 @@
   const KeyRecord record = m_driver.Core().AnswerKeyQuery(
       KeyHash(request.key()), request.send(), SteadyNow());
   reply.set_answer(static_cast<uint32_t>(record.m_state));
-  const HttpResponse* kept = m_kept_responses.Find(record.m_request);
-  if (record.m_state == KeyState::kRan && kept != nullptr) {
-    reply.set_status(static_cast<uint32_t>(kept->m_status));
-    reply.set_content_type(kept->m_content_type);
-    reply.set_body(kept->m_body);
+  const HttpResponse* stored = m_stored_responses.Find(record.m_request);
+  if (record.m_state == KeyState::kRan && stored != nullptr) {
+    reply.set_status(static_cast<uint32_t>(stored->m_status));
+    reply.set_content_type(stored->m_content_type);
+    reply.set_body(stored->m_body);
   }
   return reply;
 }
@@ -253,18 +253,18 @@
 void CallGateway::Execute(const ForwardAnswer& action) {
   PendingCall& pending = m_pending.at(action.m_request);
   if (pending.m_keeps_response) {
-    m_kept_responses.Keep(action.m_request, pending.m_response);
+    m_stored_responses.Keep(action.m_request, pending.m_response);
   }
   Finish(action.m_request, pending.m_response, Verdict::kRan, "", {}, {});
 }
 
 void CallGateway::Execute(const ReplayAnswer& action) {
-  const HttpResponse* kept = m_kept_responses.Find(action.m_original);
-  if (kept == nullptr) {
+  const HttpResponse* stored = m_stored_responses.Find(action.m_original);
+  if (stored == nullptr) {
     ReportResponseGone(action.m_request);
     return;
   }
-  Finish(action.m_request, *kept, Verdict::kRan, "replayed", {}, {});
+  Finish(action.m_request, *stored, Verdict::kRan, "replayed", {}, {});
 }
 
 void CallGateway::Execute(const ReplayPeerAnswer& action) {
--- a/src/serve/call_gateway.h
+++ b/src/serve/call_gateway.h
@@ -30,7 +30,7 @@
               HttpClient& http,
               PeerClient& peers,
               MetricsExport& metrics,
-              size_t kept_answer_bytes);
+              size_t max_stored_bytes);
 
   /// Accepts a caller's request to /v1/call/SERVICE/...
   void AcceptCall(HttpRequest request, HttpReply reply);
@@ -102,7 +102,7 @@
   HttpClient& m_http;
   PeerClient& m_peers;
   MetricsExport& m_metrics;
-  ResponseStore m_kept_responses;
+  ResponseStore m_stored_responses;
   uint64_t m_next_request = 1;
   std::unordered_map<RequestId, PendingCall> m_pending;
   std::unordered_map<AttemptId, RequestId> m_attempts;
--- a/src/serve/config_sync.h
+++ b/src/serve/config_sync.h
@@ -49,7 +49,7 @@
   /// The head in force; empty until the first configuration is installed.
   const std::optional<Head>& CurrentHead() const { return m_head; }
 
-  /// Whether the latest call to the platform got a response.
+  /// Whether the latest query for the platform's head got a usable response.
   bool IsPlatformUp() const { return m_is_platform_up; }
 
   /// Whether this entry VM watches the platform now.
--- a/tests/wait_queue_test.cc
+++ b/tests/wait_queue_test.cc
@@ -27,9 +27,9 @@
 
 TestSuite(WaitQueue, .init = SetUp, .fini = TearDown);
 
-// A burst of one caller fills its part of the queue. The first request is
+// A burst of one caller fills its share of the queue. The first request is
 // popped, finds no free slot and is requeued. It must not be refused because
-// its caller's part has filled up again meanwhile: it was accepted before.
+// its caller's share has filled up again meanwhile: it was accepted before.
 Test(WaitQueue, PoppedRequest_CallerLimitReached_IsRequeued) {
   for (uint64_t request = 1; request <= 18; ++request) {
     g_queue->TryPush(MakeQueuedRequest(request, 1, 10), 24);
