--- a/src/core/action_type.h
+++ b/src/core/action_type.h
@@ -91,8 +91,8 @@
   bool m_wants_all = false;
 };
 
-/// Tells an entry VM of the own region that a slot is free here now, or that a
-/// request waits here for one.
+/// Notifies an entry VM of the same region that a slot is free here now, or
+/// that a request waits here for one.
 struct SendSlotNotice {
   VmName m_vm;
   VmAddress m_address;
--- a/src/core/event_type.h
+++ b/src/core/event_type.h
@@ -48,7 +48,7 @@
   std::vector<VmRecord> m_records;
 };
 
-/// Another VM of the own region reports its free slots, or requests a slot.
+/// Another VM of the same region reports its free slots, or requests a slot.
 struct SlotNoticeArrived {
   VmName m_vm;
   ServiceSlots m_slots;
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -62,7 +62,7 @@
   Member* Find(const VmName& name);
   bool Knows(const VmName& name) const { return m_members.contains(name); }
 
-  /// Other live VMs of the own place.
+  /// Other live VMs of the same place.
   std::vector<const Member*> LiveSiblings(TimePoint now) const;
 
   /// All live VMs of a place except this one.
--- a/src/core/wait_queue.h
+++ b/src/core/wait_queue.h
@@ -20,9 +20,9 @@
   TimePoint m_deadline;
 };
 
-/// Queue of one service, ordered by deadline. Callers that have more than half
-/// of all running requests come after all others, so that a burst of one caller
-/// does not starve them.
+/// Small queue of one service, ordered by deadline. Callers that have more than
+/// half of all running requests come after all others, so that a burst of one
+/// caller does not starve them.
 class WaitQueue {
  public:
   /// Adds a request. Returns false if the queue or the caller's share of it is
--- a/src/serve/clock_func.h
+++ b/src/serve/clock_func.h
@@ -13,7 +13,7 @@
       std::chrono::steady_clock::now());
 }
 
-/// Reads the wall clock, for timestamps that people read.
+/// Reads the wall clock, for timestamps and incarnations; never for timeouts.
 inline microseconds WallNow() {
   return std::chrono::duration_cast<microseconds>(
       std::chrono::system_clock::now().time_since_epoch());
