--- a/src/proxy/proxy_metrics.cc
+++ b/src/proxy/proxy_metrics.cc
@@ -14,6 +14,7 @@
 
 namespace prom = prometheus;
 
+/// Upper bounds in seconds.
 const prom::Histogram::BucketBoundaries kLatencyBuckets{
     0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.8, 1.2, 2, 4, 8};
 
--- a/src/proxy/request_proxy.cc
+++ b/src/proxy/request_proxy.cc
@@ -361,9 +361,9 @@
 }
 
 void RequestProxy::Handle(const CrashesForgotten& action) {
-  for (const CrashRecord& fact : action.m_facts) {
-    m_log.Write("suspicion_ended", {{"content", FormatDigest(fact.m_digest)},
-                                    {"server", fact.m_run},
+  for (const CrashRecord& record : action.m_facts) {
+    m_log.Write("suspicion_ended", {{"content", FormatDigest(record.m_digest)},
+                                    {"server", record.m_run},
                                     {"reason", action.m_reason}});
   }
   m_on_crash_update(action);
--- a/src/proxy/server_notice.cc
+++ b/src/proxy/server_notice.cc
@@ -19,7 +19,7 @@
 constexpr int kHttpServiceUnavailable = 503;
 constexpr const char* kRetryAfter = "retry-after";
 /// A server that asks for a longer pause is tried again after this one, and may
-/// ask anew.
+/// then ask again.
 constexpr double kMaxPauseS = 3600;
 
 /// Parses a non-negative decimal number without sign and exponent.
--- a/tests/crash_record_writer_test.cc
+++ b/tests/crash_record_writer_test.cc
@@ -110,10 +110,10 @@
 }
 
 Test(CrashRecordWriter, KeyAndValue_EncodedAndDecoded_AreTheSame) {
-  const CrashRecord fact{kDigest, "i-1@1700000000000"};
-  cr_assert(DecodeCrashKey(CrashKey(fact)) == fact);
+  const CrashRecord record{kDigest, "i-1@1700000000000"};
+  cr_assert(DecodeCrashKey(CrashKey(record)) == record);
   const std::string value =
-      EncodeStoredCrash({{fact, "s", "h", std::string(500, 'x') + "\xff"},
+      EncodeStoredCrash({{record, "s", "h", std::string(500, 'x') + "\xff"},
                          "vm",
                          milliseconds(1700)});
   cr_assert_eq(DecodeCrashTime(value), milliseconds(1700));
--- a/tests/directory_test.cc
+++ b/tests/directory_test.cc
@@ -119,13 +119,13 @@
 }
 
 // Guards against evaluating the whole fleet for each query of a client.
-Test(Directory, ManyQuestions_FleetUnchanged_AreChosenOnce) {
+Test(Directory, ManyQueries_FleetUnchanged_AreComputedOnce) {
   for (const size_t vms : {50, 100, 200}) {
     ClientDirectory directory;
     directory.SetFleet(LargeRegion(vms));
-    for (int question = 0; question < 300; ++question) {
+    for (int query = 0; query < 300; ++query) {
       directory.AddressesFor(
-          {"north", "d" + std::to_string(question % 3 + 1), {}});
+          {"north", "d" + std::to_string(query % 3 + 1), {}});
     }
     cr_expect_eq(directory.CacheMisses(), 3U);
     directory.SetFleet({});
--- a/tests/edge_responses_test.cc
+++ b/tests/edge_responses_test.cc
@@ -12,7 +12,7 @@
 namespace sorrelplank::platform {
 namespace {
 
-/// An entry VM that knows one route without home regions.
+/// An entry VM whose routing table has one route without home regions.
 struct ResponsesFixture {
   SteeringFixture m_decisions;
   HttpRequest m_request;
--- a/tests/held_command_test.cc
+++ b/tests/held_command_test.cc
@@ -34,11 +34,12 @@
     m_thread.join();
   }
 
-  void Put(const CrashRecord& fact) {
-    m_store.PutText(CrashKey(fact),
-                    EncodeStoredCrash({{fact, "reads", "h.example", "/read/7"},
-                                       "vm-1",
-                                       milliseconds(1)}));
+  void Put(const CrashRecord& record) {
+    m_store.PutText(
+        CrashKey(record),
+        EncodeStoredCrash({{record, "reads", "h.example", "/read/7"},
+                           "vm-1",
+                           milliseconds(1)}));
   }
 
   /// Runs the command and returns its output.
--- a/tests/load_peers_test.cc
+++ b/tests/load_peers_test.cc
@@ -15,7 +15,7 @@
 TestSuite(LoadPeers);
 
 // A region with few servers sends most of its requests to the servers of other
-// regions, whose VMs know their load.
+// regions, whose VMs receive the load reports of these servers.
 Test(LoadPeers, SmallFleet_Chosen_AllOthersArePeers) {
   const auto peers = ChooseLoadPeers({kOwn, kNear, kFar}, kOwn, kPort);
   cr_assert_eq(peers.size(), 2);
--- a/tests/request_proxy_test.cc
+++ b/tests/request_proxy_test.cc
@@ -43,12 +43,12 @@
 
 /// A proxy with one route, and a backend server that accepts one connection and
 /// answers each read with m_answer.
-struct FrontFixture {
+struct ProxyFixture {
   asio::io_context m_io{1};
   int m_pipe[2] = {-1, -1};
   std::unique_ptr<DecisionLog> m_log;
   ProxyMetrics m_metrics{"vm-1"};
-  std::unique_ptr<RequestProxy> m_front;
+  std::unique_ptr<RequestProxy> m_proxy;
   std::shared_ptr<const RoutingTable> m_table;
   tcp::acceptor m_acceptor{m_io,
                            tcp::endpoint(asio::ip::address_v4::loopback(), 0)};
@@ -59,10 +59,10 @@
   bool m_peer_closed = false;
   std::optional<HttpResponse> m_reply;
 
-  FrontFixture() {
+  ProxyFixture() {
     cr_assert_eq(pipe(m_pipe), 0);
     m_log = std::make_unique<DecisionLog>("vm-1", m_pipe[1]);
-    m_front = std::make_unique<RequestProxy>(m_io, MakeSettings(), Names(),
+    m_proxy = std::make_unique<RequestProxy>(m_io, MakeSettings(), Names(),
                                              *m_log, m_metrics);
     auto table = std::make_shared<RoutingTable>();
     table->m_version = 1;
@@ -80,8 +80,8 @@
     table->m_limits.m_header_bytes = 1000;
     const TimePoint now;
     m_table = table;
-    m_front->GetSteering().Install(table, now);
-    m_front->GetSteering().PutServer(
+    m_proxy->GetSteering().Install(table, now);
+    m_proxy->GetSteering().PutServer(
         {"i-1",
          "s",
          {asio::ip::address_v4::loopback().to_uint(),
@@ -91,7 +91,7 @@
          false,
          {}},
         now);
-    m_front->GetSteering().Tick(now + seconds(1));
+    m_proxy->GetSteering().Tick(now + seconds(1));
     m_acceptor.async_accept(m_peer, [this](std::error_code error) {
       if (!error) {
         Read();
@@ -99,8 +99,8 @@
     });
   }
 
-  ~FrontFixture() {
-    m_front.reset();
+  ~ProxyFixture() {
+    m_proxy.reset();
     close(m_pipe[0]);
     close(m_pipe[1]);
   }
@@ -128,7 +128,7 @@
                                .m_keys = {"secret"},
                                .m_priority = std::nullopt,
                                .m_home_regions = {}}};
-    m_front->GetSteering().Install(table, TimePoint());
+    m_proxy->GetSteering().Install(table, TimePoint());
   }
 
   static HttpRequest Request() {
@@ -149,7 +149,7 @@
   }
 
   void Accept(HttpRequest request) {
-    m_front->Accept(std::move(request), [this](HttpResponse response) {
+    m_proxy->Accept(std::move(request), [this](HttpResponse response) {
       m_reply = std::move(response);
     });
   }
@@ -167,10 +167,10 @@
   }
 };
 
-std::unique_ptr<FrontFixture> g_fixture;
+std::unique_ptr<ProxyFixture> g_fixture;
 
 void SetUp() {
-  g_fixture = std::make_unique<FrontFixture>();
+  g_fixture = std::make_unique<ProxyFixture>();
 }
 
 void TearDown() {
@@ -183,7 +183,7 @@
   g_fixture->m_answer =
       "HTTP/1.1 201 X\r\nid: r1\r\nstamp: s\r\nload: 1,0,4\r\n"
       "custom: c\r\ncontent-length: 2\r\n\r\nok";
-  g_fixture->Accept(FrontFixture::Request());
+  g_fixture->Accept(ProxyFixture::Request());
   g_fixture->RunUntil([] { return g_fixture->m_reply.has_value(); });
   cr_assert(g_fixture->Received("POST /x/y?q=1 HTTP/1.1\r\n"));
   cr_assert(g_fixture->Received("other: kept\r\n"));
@@ -210,7 +210,7 @@
   g_fixture->m_answer =
       "HTTP/1.1 200 X\r\nid: r1\r\nstamp: s\r\ncontent-length: 0\r\n\r\n";
   g_fixture->InstallOrganisation();
-  HttpRequest request = FrontFixture::Request();
+  HttpRequest request = ProxyFixture::Request();
   request.m_headers["authorization"] = "Bearer secret";
   request.m_headers["organisation"] = "forged";
   request.m_headers["connection"] = "organisation";
@@ -224,7 +224,7 @@
 Test(RequestProxy, NoOrganisations_Forwarded_KeepsCredentials) {
   g_fixture->m_answer =
       "HTTP/1.1 200 X\r\nid: r1\r\nstamp: s\r\ncontent-length: 0\r\n\r\n";
-  HttpRequest request = FrontFixture::Request();
+  HttpRequest request = ProxyFixture::Request();
   request.m_headers["authorization"] = "Basic mine";
   g_fixture->Accept(std::move(request));
   g_fixture->RunUntil([] { return g_fixture->m_reply.has_value(); });
@@ -233,7 +233,7 @@
 
 Test(RequestProxy, UnknownKey_Answer_Is401WithTheScheme) {
   g_fixture->InstallOrganisation();
-  g_fixture->Accept(FrontFixture::Request());
+  g_fixture->Accept(ProxyFixture::Request());
   cr_assert_eq(g_fixture->m_reply->m_status, 401);
   const auto* scheme =
       FindField(g_fixture->m_reply->m_headers, "WWW-Authenticate");
@@ -243,9 +243,9 @@
 // When the client closes its connection, the connection to the server must be
 // closed as well, or the server would continue useless work.
 Test(RequestProxy, Client_Leaves_ServersConnectionIsClosed) {
-  g_fixture->Accept(FrontFixture::Request());
+  g_fixture->Accept(ProxyFixture::Request());
   g_fixture->RunUntil([] { return !g_fixture->m_received.empty(); });
-  g_fixture->m_front->ClientClosed(9);
+  g_fixture->m_proxy->ClientClosed(9);
   g_fixture->RunUntil([] { return g_fixture->m_peer_closed; });
   cr_assert_not(g_fixture->m_reply.has_value());
 }
@@ -253,8 +253,8 @@
 Test(RequestProxy, Stopping_Answer_ClosesTheConnection) {
   g_fixture->m_answer =
       "HTTP/1.1 200 X\r\nid: r1\r\nstamp: s\r\ncontent-length: 0\r\n\r\n";
-  g_fixture->m_front->SetStopping();
-  g_fixture->Accept(FrontFixture::Request());
+  g_fixture->m_proxy->SetStopping();
+  g_fixture->Accept(ProxyFixture::Request());
   g_fixture->RunUntil([] { return g_fixture->m_reply.has_value(); });
   cr_assert(g_fixture->m_reply->m_close);
 }
@@ -277,7 +277,7 @@
 
 Test(RequestProxy, BadRequest_EachKind_IsAnsweredAtOnce) {
   for (const BadRequest& bad : kBadRequests) {
-    HttpRequest request = FrontFixture::Request();
+    HttpRequest request = ProxyFixture::Request();
     bad.m_modify(request);
     g_fixture->m_reply.reset();
     g_fixture->Accept(std::move(request));
@@ -289,8 +289,8 @@
 // Without any server, the client must be told immediately that nothing ran and
 // when to retry.
 Test(RequestProxy, NoServer_Refusal_HasRetryAfter) {
-  g_fixture->m_front->GetSteering().RemoveServer("i-1", TimePoint());
-  g_fixture->Accept(FrontFixture::Request());
+  g_fixture->m_proxy->GetSteering().RemoveServer("i-1", TimePoint());
+  g_fixture->Accept(ProxyFixture::Request());
   cr_assert_eq(g_fixture->m_reply->m_status, 503);
   cr_assert_str_eq(g_fixture->m_reply->m_headers.back().first.c_str(),
                    "Retry-After");
--- a/tests/server_probe_test.cc
+++ b/tests/server_probe_test.cc
@@ -1,4 +1,5 @@
-/// @file server_probe_test.cc Detection of servers that no longer listen.
+/// @file server_probe_test.cc Probing whether a server that lost a
+/// response still listens.
 
 #include "proxy/server_probe.h"
 
--- a/tests/store_fleet.cc
+++ b/tests/store_fleet.cc
@@ -322,12 +322,12 @@
                                       Duration limit) {
   const TimePoint began = m_queue.Now();
   while (m_queue.Now() - began < limit) {
-    const bool all_know =
+    const bool all_have =
         std::all_of(m_vms.begin(), m_vms.end(), [&](const auto& vm) {
           return vm->m_faults.m_is_down || vm->m_faults.m_is_paused ||
                  HasValue(vm->m_number, key, value);
         });
-    if (all_know) {
+    if (all_have) {
       return m_queue.Now() - began;
     }
     RunFor(kTickInterval);
--- a/tests/store_fleet.h
+++ b/tests/store_fleet.h
@@ -24,7 +24,7 @@
   bool m_is_cut_off_from_store =
       false;  ///< Its calls to the store are not answered.
   bool m_is_refused_by_store = false;  ///< The store refuses its calls.
-  bool m_drops_answers = false;        ///< What it says to other VMs is lost.
+  bool m_drops_answers = false;        ///< Its replies to other VMs are lost.
 };
 
 /// A fleet of real StoreFollower objects over simulated links, and a store that
--- a/tests/store_fleet_test.cc
+++ b/tests/store_fleet_test.cc
@@ -235,8 +235,9 @@
     fleet.Restart(vm);
     for (int step = 0; step < 10; ++step) {
       fleet.RunFor(milliseconds(30));
-      const bool claims_to_know = fleet.Follower(vm).LastSyncedAt() > changed;
-      cr_expect(fleet.HasValue(vm, "op/config", value) || !claims_to_know,
+      const bool claims_to_be_synced =
+          fleet.Follower(vm).LastSyncedAt() > changed;
+      cr_expect(fleet.HasValue(vm, "op/config", value) || !claims_to_be_synced,
                 "VM %zu counts as in sync after a stale read", vm);
     }
   }
--- a/tests/store_watch_test.cc
+++ b/tests/store_watch_test.cc
@@ -119,11 +119,11 @@
 // Together with one failed call, this must fit into the allowed time.
 Test(StoreWatch, Coalescing_ByRelays_LeavesTimeForARelayFailure) {
   for (const Duration lag : {milliseconds(2500), milliseconds(4000)}) {
-    const Duration gather = CoalesceDelay(710, true, lag);
-    const Duration relay_fails = RelayPollWait(lag) + milliseconds(300);
-    const Duration call_fails = milliseconds(800);
-    cr_assert_leq(relay_fails, lag / 2);
-    cr_assert_leq(gather + relay_fails + call_fails, lag);
+    const Duration coalesce_delay = CoalesceDelay(710, true, lag);
+    const Duration relay_failure = RelayPollWait(lag) + milliseconds(300);
+    const Duration call_failure = milliseconds(800);
+    cr_assert_leq(relay_failure, lag / 2);
+    cr_assert_leq(coalesce_delay + relay_failure + call_failure, lag);
   }
 }
 
