--- a/src/proxy/server_connection.cc
+++ b/src/proxy/server_connection.cc
@@ -234,9 +234,9 @@
   if (at == std::string::npos) {
     return;
   }
-  const auto promised = seconds(std::atoi(field->c_str() + at + 8));
+  const auto announced_time = seconds(std::atoi(field->c_str() + at + 8));
   m_usable_until = now + std::chrono::duration_cast<Duration>(
-                             std::chrono::duration<double>(promised) *
+                             std::chrono::duration<double>(announced_time) *
                              kKeepAliveUseFraction);
 }
 
--- a/tests/store_fleet.cc
+++ b/tests/store_fleet.cc
@@ -101,20 +101,20 @@
 }
 
 void StoreFleet::ApplyChanges(Vm& vm, const StoreMirror::Changes& changes) {
-  size_t lost = 0;
+  size_t removed_count = 0;
   for (const StoreItem& item : changes) {
     const auto known = vm.m_copy.find(item.m_key);
     const bool is_older =
         known != vm.m_copy.end() && item.m_revision < known->second.m_revision;
     m_has_regressed |= is_older;
     if (item.m_removed) {
-      ++lost;
+      ++removed_count;
       vm.m_copy.erase(item.m_key);
     } else {
       vm.m_copy[item.m_key] = item;
     }
   }
-  m_max_removed_at_once = std::max(m_max_removed_at_once, lost);
+  m_max_removed_at_once = std::max(m_max_removed_at_once, removed_count);
   std::vector<FleetMember> fleet;
   for (const auto& [key, item] : vm.m_copy) {
     if (key.starts_with(kFleetPrefix)) {
