--- a/soak/crashing_requests.h
+++ b/soak/crashing_requests.h
@@ -40,13 +40,13 @@
                       const std::string& path,
                       VmProcess process);
   /// A server starts to run the attempt.
-  /// @param is_stable The VM reaches all other processes; counts it towards
-  /// the time-bound check.
+  /// @param is_stable Whether the VM reaches all other processes; only then
+  /// does the run count for the check with a time bound.
   void OnRunStart(const std::string& id, bool is_stable, TimePoint now);
   /// A server crashed while running the attempt.
-  /// @param is_in_service VMs know the server as serving, so that they can
-  /// explain its end only by the request; other crashes are not held against
-  /// it.
+  /// @param is_in_service Whether the VMs take the server to be serving, so
+  /// that only the request can explain its end. Other crashes do not count
+  /// against the request.
   void OnServerCrash(const std::string& id, bool is_in_service, TimePoint now);
   /// The process responded to the attempt without having been paused, so it
   /// knows of the attempt's crashes.
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -8,8 +8,8 @@
 
 namespace sorrelplank::soak {
 
-FaultProxy::FaultProxy(asio::io_context& io, const ProxyEndpoints& ends)
-    : m_io(io), m_endpoints(ends), m_acceptor(io) {
+FaultProxy::FaultProxy(asio::io_context& io, const ProxyEndpoints& endpoints)
+    : m_io(io), m_endpoints(endpoints), m_acceptor(io) {
   Listen();
 }
 
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -33,7 +33,7 @@
 class FaultProxy {
  public:
   /// Starts to listen; throws std::system_error where that fails.
-  FaultProxy(asio::io_context& io, const ProxyEndpoints& ends);
+  FaultProxy(asio::io_context& io, const ProxyEndpoints& endpoints);
   ~FaultProxy();
   FaultProxy(const FaultProxy&) = delete;
   FaultProxy& operator=(const FaultProxy&) = delete;
--- a/soak/ledger.cc
+++ b/soak/ledger.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool PromisesNotRun(int status) {
+bool GuaranteesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -32,10 +32,10 @@
   return "answer to " + id + " on " + path;
 }
 
-void Ledger::Breach(const std::string& promise,
+void Ledger::Breach(const std::string& guarantee,
                     const std::string& id,
                     const std::string& detail) {
-  m_breaches.push_back(promise + ": request " + id + " " + detail);
+  m_breaches.push_back(guarantee + ": request " + id + " " + detail);
 }
 
 void Ledger::RecordResponse(const std::string& id,
@@ -58,8 +58,9 @@
   if (is_success) {
     RecordEnd(id, CallerOutcome::kSuccess);
   } else {
-    RecordEnd(id, PromisesNotRun(response.m_status) ? CallerOutcome::kNotRun
-                                                    : CallerOutcome::kFailure);
+    RecordEnd(id, GuaranteesNotRun(response.m_status)
+                      ? CallerOutcome::kNotRun
+                      : CallerOutcome::kFailure);
   }
 }
 
@@ -90,7 +91,7 @@
       ++m_counts.m_not_accepted;
       break;
   }
-  CheckPromise(id, request);
+  CheckGuarantee(id, request);
 }
 
 void Ledger::RecordRun(const std::string& id, const ServerRun& run) {
@@ -118,10 +119,11 @@
   if (!request.m_idempotent && request.m_runs > 1) {
     Breach("at most once", id, "runs again, at " + run.m_server);
   }
-  CheckPromise(id, request);
+  CheckGuarantee(id, request);
 }
 
-void Ledger::CheckPromise(const std::string& id, const CallerRequest& request) {
+void Ledger::CheckGuarantee(const std::string& id,
+                            const CallerRequest& request) {
   if (!request.m_idempotent && request.m_end == CallerOutcome::kNotRun &&
       request.m_runs > 0) {
     Breach("true refusal", id, "was reported as not run but ran");
--- a/soak/ledger.h
+++ b/soak/ledger.h
@@ -85,7 +85,7 @@
                                   const std::string& path);
 
   /// Adds a breach; also for checks outside this class.
-  void Breach(const std::string& promise,
+  void Breach(const std::string& guarantee,
               const std::string& id,
               const std::string& detail);
 
@@ -94,7 +94,7 @@
   const CallerRequest* Find(const std::string& id) const;
 
  private:
-  void CheckPromise(const std::string& id, const CallerRequest& request);
+  void CheckGuarantee(const std::string& id, const CallerRequest& request);
 
   std::map<std::string, CallerRequest> m_requests;
   std::vector<std::string> m_breaches;
--- a/soak/notice_checker.cc
+++ b/soak/notice_checker.cc
@@ -31,7 +31,7 @@
   ++m_notice_count;
   const RunId run{server.Instance(), server.Generation()};
   Notice entry{.m_request = id,
-               .m_vm = process,
+               .m_process = process,
                .m_is_leaving = notice.m_is_leaving,
                .m_has_limit = notice.m_max_per_second.has_value(),
                .m_notice_number = server.NoticeNumber()};
@@ -71,7 +71,7 @@
   for (const Notice& notice : notices->second) {
     const CallerRequest* notified = m_ledger.Find(notice.m_request);
     const bool is_notified =
-        notice.m_vm == process && notified != nullptr &&
+        notice.m_process == process && notified != nullptr &&
         WasRead(*notified, notice) &&
         request->m_sent_sequence > notified->m_end_sequence;
     if (!is_notified) {
@@ -109,7 +109,7 @@
   const bool is_counted =
       std::any_of(notices.begin(), notices.end(), [&](const Notice& notice) {
         const CallerRequest* notified = m_ledger.Find(notice.m_request);
-        return notice.m_has_limit && notice.m_vm == process &&
+        return notice.m_has_limit && notice.m_process == process &&
                notice.m_notice_number == server.NoticeNumber() &&
                notified != nullptr && WasRead(*notified, notice) &&
                now - notified->m_end_time >= kNoticeAge;
@@ -118,18 +118,17 @@
     return;
   }
   LimitWindow& window = it->second;
-  window.m_started_sends.push_back(now);
-  while (now - window.m_started_sends.front() >= kWindow) {
-    window.m_started_sends.pop_front();
+  window.m_arrivals.push_back(now);
+  while (now - window.m_arrivals.front() >= kWindow) {
+    window.m_arrivals.pop_front();
   }
   const double max_requests = window.m_per_second * kWindowLimitFactor +
                               kExtraRequests + kSlackRequests;
   const bool is_over =
-      static_cast<double>(window.m_started_sends.size()) > max_requests;
+      static_cast<double>(window.m_arrivals.size()) > max_requests;
   if (is_over && now - window.m_limited_since >= kContactTime) {
     m_ledger.Breach("limit", id,
-                    "is one of " +
-                        std::to_string(window.m_started_sends.size()) +
+                    "is one of " + std::to_string(window.m_arrivals.size()) +
                         " in 4 s at " + run.m_instance + ", which allows " +
                         std::to_string(window.m_per_second) + " a second");
   }
--- a/soak/notice_checker.h
+++ b/soak/notice_checker.h
@@ -61,7 +61,7 @@
   /// A notice in a server's response.
   struct Notice {
     std::string m_request;
-    VmProcess m_vm;
+    VmProcess m_process;
     bool m_is_leaving = false;
     bool m_has_limit = false;
     uint64_t m_notice_number = 0;
@@ -72,7 +72,7 @@
   struct LimitWindow {
     double m_per_second = 0;
     TimePoint m_limited_since;
-    std::deque<TimePoint> m_started_sends;
+    std::deque<TimePoint> m_arrivals;
   };
 
   /// Whether the process certainly received the response with the notice.
--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -93,7 +93,7 @@
     RunFor(kWarmUp);
     const TimePoint ends = SteadyNow() + m_options.m_length;
     while (SteadyNow() < ends) {
-      DrawFault();
+      ApplyRandomFault();
       std::uniform_int_distribution<int> pause(kMinPauseMs, kMaxPauseMs);
       RunFor(milliseconds(pause(m_random)));
     }
@@ -110,7 +110,7 @@
  private:
   void RunFor(Duration time) { m_io.run_for(time); }
 
-  void DrawFault() {
+  void ApplyRandomFault() {
     std::vector<const FaultKind*> kinds;
     for (const FaultKind& kind : kKinds) {
       if (kind.m_is_planned || !m_options.m_only_planned) {
@@ -204,7 +204,7 @@
   TCLAP::SwitchArg planned("", "planned", "only planned work, no faults", line);
   TCLAP::SwitchArg verbose("", "verbose", "print each fault", line);
   line.parse(argc, argv);
-  uint64_t broken = 0;
+  uint64_t failed_runs = 0;
   for (uint64_t run = 0; run < runs.getValue(); ++run) {
     const bool has_passed = RunSeed({.m_program = program.getValue(),
                                      .m_folder = "",
@@ -213,11 +213,11 @@
                                      .m_checks_times = timed.getValue(),
                                      .m_only_planned = planned.getValue(),
                                      .m_is_verbose = verbose.getValue()});
-    broken += has_passed ? 0 : 1;
+    failed_runs += has_passed ? 0 : 1;
   }
-  std::cout << "soak: " << runs.getValue() << " runs, " << broken << " broken"
-            << std::endl;
-  return broken == 0 ? 0 : 1;
+  std::cout << "soak: " << runs.getValue() << " runs, " << failed_runs
+            << " broken" << std::endl;
+  return failed_runs == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/standin/prove.cc
+++ b/standin/prove.cc
@@ -420,18 +420,20 @@
   const auto binaries =
       std::filesystem::canonical("/proc/self/exe").parent_path();
   const std::string folder = "examples/trasa";
-  int held = 0;
-  int broken = 0;
+  int passed_cases = 0;
+  int failed_cases = 0;
   for (const Case& test : AllCases()) {
     const bool is_wanted = which == "all" ||
                            (which == "short" && test.m_is_in_short_set) ||
                            which == test.m_name;
     if (is_wanted) {
-      ++(RunCase(test, binaries.string(), folder) ? held : broken);
+      ++(RunCase(test, binaries.string(), folder) ? passed_cases
+                                                  : failed_cases);
     }
   }
-  std::cout << "prove: held=" << held << " broken=" << broken << std::endl;
-  return held > 0 && broken == 0 ? 0 : 1;
+  std::cout << "prove: held=" << passed_cases << " broken=" << failed_cases
+            << std::endl;
+  return passed_cases > 0 && failed_cases == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/trial/limit_simulation.cc
+++ b/trial/limit_simulation.cc
@@ -77,7 +77,7 @@
   size_t m_number = 0;
   uint64_t m_generation = 1;
   std::optional<double> m_limit;
-  /// Announced limits, the newest last.
+  /// Limits announced since m_limited_since, the newest last.
   std::vector<AnnouncedLimit> m_limits;
   std::optional<TimePoint> m_limited_since;
   size_t m_busy = 0;
--- a/trial/trial_main.cc
+++ b/trial/trial_main.cc
@@ -82,7 +82,7 @@
 }
 
 int Report(const RunOptions& options,
-           const char* chooser,
+           const char* policy_name,
            const RunResult& result) {
   std::vector<Duration> all;
   auto by_service = result.m_latencies;
@@ -92,7 +92,7 @@
   }
   std::sort(all.begin(), all.end());
   std::cout << "trial: deployment=" << options.m_deployment
-            << " chooser=" << chooser << " seed=" << options.m_seed
+            << " chooser=" << policy_name << " seed=" << options.m_seed
             << " load=" << options.m_load << " sent=" << result.m_sent
             << " answered=" << result.m_answered
             << " not_run=" << result.m_not_run
