--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -185,23 +185,23 @@
   /// own record and the records of the places that it gossips with, and the
   /// records of the places that this node gossips with.
   std::vector<GossipArrived> MessagesOfRound() {
-    const int siblings = std::max(1, m_size.m_vms / m_size.m_places);
-    std::vector<GossipArrived> messages(static_cast<size_t>(siblings));
+    const int vms_per_place = std::max(1, m_size.m_vms / m_size.m_places);
+    std::vector<GossipArrived> messages(static_cast<size_t>(vms_per_place));
     for (int vm = m_size.m_places; vm < m_size.m_vms; vm += m_size.m_places) {
-      const size_t sibling =
+      const size_t sender =
           static_cast<size_t>(vm / m_size.m_places) % messages.size();
-      messages[sibling].m_records.push_back(MakeRecord(vm, m_size, m_sequence));
+      messages[sender].m_records.push_back(MakeRecord(vm, m_size, m_sequence));
     }
     for (int place = 1; place < m_size.m_places; ++place) {
-      const size_t speaker =
-          static_cast<size_t>(place) % static_cast<size_t>(siblings);
+      const size_t gossip_sender =
+          static_cast<size_t>(place) % static_cast<size_t>(vms_per_place);
       GossipArrived own;
-      auto& records =
-          speaker == 0 ? own.m_records : messages[speaker].m_records;
+      auto& records = gossip_sender == 0 ? own.m_records
+                                         : messages[gossip_sender].m_records;
       for (int vm = place; vm < m_size.m_vms; vm += m_size.m_places) {
         records.push_back(MakeRecord(vm, m_size, m_sequence));
       }
-      if (speaker == 0) {
+      if (gossip_sender == 0) {
         messages.push_back(std::move(own));
       }
     }
