--- a/src/steer/admission.h
+++ b/src/steer/admission.h
@@ -17,7 +17,7 @@
   /// Completions per second at the server whose slots this VM can expect to
   /// get.
   double m_completions_per_second = 0;
-  /// Median latency of one request at a backend server.
+  /// Mean latency of a request that finds a free slot in the server's region.
   Duration m_usual_latency{};
 };
 
--- a/src/steer/quota_message_type.h
+++ b/src/steer/quota_message_type.h
@@ -42,7 +42,7 @@
   QuotaSubject m_subject;
   uint64_t m_number = 0;
   uint32_t m_tokens = 0;
-  /// False if the VM that was asked is not the keeper by its own knowledge.
+  /// False if the VM that was asked is not the keeper by its view of the fleet.
   bool m_is_keeper = false;
   /// Time until tokens are available for what was not granted.
   Duration m_wait{};
--- a/src/steer/region_servers.cc
+++ b/src/steer/region_servers.cc
@@ -80,9 +80,9 @@
     if (!picker.IsUsable(*server)) {
       region.m_slots -= entry.m_slots;
     }
-    const bool is_counted_within_reach =
+    const bool is_counted_reachable =
         !picker.IsBreakerOpen(entry.m_failure_domain, now);
-    if (is_counted_within_reach && !picker.IsReachable(*server, rules, now)) {
+    if (is_counted_reachable && !picker.IsReachable(*server, rules, now)) {
       region.m_reachable_slots -= entry.m_slots;
     }
   }
--- a/src/steer/server_limits.h
+++ b/src/steer/server_limits.h
@@ -37,8 +37,8 @@
   /// Whether another VM may have taken over the quotas that this VM keeps.
   void SetMayBeReplaced(bool may_be) { m_may_be_replaced = may_be; }
 
-  /// Whether a request may quota_request for a token for the server now; true
-  /// for servers without a limit.
+  /// Whether a request may try to get a token for the server now; true for
+  /// servers without a limit.
   bool MayTry(const ServerState& server, TimePoint now) const;
   /// Whether the server is reserved for the VMs of its own region as long as
   /// other servers are available. False once the limit was named long ago,
@@ -59,7 +59,8 @@
   void Return(const ServerState& server, TimePoint now);
 
   std::vector<AddressedQuotaRequest> TakeQuotaRequests();
-  /// Whether the quota is a server's limit that this VM knows.
+  /// Whether the quota is a server's limit that this VM sent or received quota
+  /// requests for.
   bool Knows(QuotaSubject subject) const {
     return m_known_limits.contains(subject);
   }
--- a/src/steer/server_picker.cc
+++ b/src/steer/server_picker.cc
@@ -248,9 +248,9 @@
 }
 
 uint32_t ServerPicker::StaleDataLimit(const ServiceRules& rules) const {
-  const double cut_off_vms =
+  const double stale_vms =
       std::max(1.0, static_cast<double>(m_vms_in_region) * kStaleVmsFraction);
-  return std::max(1U, static_cast<uint32_t>(ColdLimit(rules) / cut_off_vms));
+  return std::max(1U, static_cast<uint32_t>(ColdLimit(rules) / stale_vms));
 }
 
 uint32_t ServerPicker::ColdLimit(const ServiceRules& rules) const {
--- a/src/steer/server_picker.h
+++ b/src/steer/server_picker.h
@@ -86,9 +86,9 @@
   /// and to the server's own notices.
   bool MaySend(const ServerState& server, TimePoint now) const;
 
-  /// Whether the server can be expected to accept requests of this VM now: the
-  /// breaker of its failure domain is closed, and if it is cold, it is assigned
-  /// to this VM.
+  /// Whether the server can be expected to accept requests of this VM now:
+  /// MaySend() is true, the breaker of its failure domain is closed, and if it
+  /// is cold, it is assigned to this VM.
   bool IsReachable(const ServerState& server,
                    const ServiceRules& rules,
                    TimePoint now) const;
--- a/src/steer/server_state.cc
+++ b/src/steer/server_state.cc
@@ -256,12 +256,12 @@
   m_objects[object] = now;
 }
 
-bool ServerState::TryTakeRate(uint32_t most_per_second, TimePoint now) {
-  return m_limited_sends.TryTake(most_per_second, now);
+bool ServerState::TryTakeRate(uint32_t max_per_second, TimePoint now) {
+  return m_limited_sends.TryTake(max_per_second, now);
 }
 
-bool ServerState::HasRateRoom(uint32_t most_per_second, TimePoint now) {
-  return m_limited_sends.Count(now) < most_per_second;
+bool ServerState::HasRateRoom(uint32_t max_per_second, TimePoint now) {
+  return m_limited_sends.Count(now) < max_per_second;
 }
 
 }  // namespace sorrelplank
--- a/src/steer/server_state.h
+++ b/src/steer/server_state.h
@@ -73,9 +73,9 @@
   /// Treats the server as cold for at least the given time from now.
   void MarkCold(Duration time, TimePoint now);
   /// Counts one request against a rate limit; false if the limit is reached.
-  bool TryTakeRate(uint32_t most_per_second, TimePoint now);
+  bool TryTakeRate(uint32_t max_per_second, TimePoint now);
   /// Whether the rate limit allows a request.
-  bool HasRateRoom(uint32_t most_per_second, TimePoint now);
+  bool HasRateRoom(uint32_t max_per_second, TimePoint now);
 
   /// Whether the time given to a request should have sufficed for an answer
   /// even without its object in the server's cache and with the server's
--- a/src/steer/steer_action_type.h
+++ b/src/steer/steer_action_type.h
@@ -117,7 +117,7 @@
 /// other VMs.
 struct RequestSuspected {
   CrashReport m_report;
-  /// Servers that crashed under the request, as known to this VM.
+  /// Servers that crashed while they ran the request, as known to this VM.
   size_t m_ends = 0;
 };
 
@@ -133,14 +133,14 @@
   RequestDigest m_digest;
 };
 
-/// These crash facts no longer count; to be reported to the other VMs.
+/// These crash records no longer count; to be reported to the other VMs.
 struct CrashesForgotten {
   std::vector<CrashRecord> m_facts;
   /// "answered" or "expired".
   const char* m_reason = "";
 };
 
-/// Ask another entry VM for tokens of a quota; the answer is passed to
+/// Send a quota request to another entry VM; its grant is passed to
 /// ApplyQuotaGrant.
 struct AskForTokens {
   AddressedQuotaRequest m_question;
--- a/src/steer/steered_service.cc
+++ b/src/steer/steered_service.cc
@@ -37,7 +37,7 @@
       m_by_region(regions),
       m_shares(regions, own),
       m_retries(retry_window),
-      m_times(regions) {}
+      m_region_latencies(regions) {}
 
 void SteeredService::AddServer(const std::shared_ptr<ServerState>& server) {
   m_servers[server->Entry().m_instance] = server;
@@ -76,7 +76,7 @@
   m_rejections += ((is_rejected ? 1 : 0) - m_rejections) / kRejectionSamples;
   if (report.m_end == AttemptEnd::kAnswered) {
     m_latency.Add(report.m_latency);
-    m_times.Add(server.Region(), report, server.Entry().m_slots);
+    m_region_latencies.Add(server.Region(), report, server.Entry().m_slots);
   }
 }
 
@@ -84,13 +84,14 @@
                                    TimePoint now) const {
   QueueState queue;
   if (server == nullptr) {
-    queue.m_usual_latency = m_times.Mean(m_own_region);
+    queue.m_usual_latency = m_region_latencies.Mean(m_own_region);
     return queue;
   }
-  queue.m_usual_latency = m_times.Mean(server->Region());
+  queue.m_usual_latency = m_region_latencies.Mean(server->Region());
   queue.m_ahead = server->Waiting();
   const double work_s =
-      std::max(kMinWorkMs, ToMilliseconds(m_times.SlotTime(server->Region()))) /
+      std::max(kMinWorkMs,
+               ToMilliseconds(m_region_latencies.SlotTime(server->Region()))) /
       1000;
   // Freed slots go to whichever VM sends first; this VM expects its fraction of
   // the requests in flight.
--- a/src/steer/steered_service.h
+++ b/src/steer/steered_service.h
@@ -79,7 +79,7 @@
   std::optional<TimePoint> m_last_request;
   std::list<RequestId> m_waiting;
   QuantileEstimator m_latency{0.5};
-  RegionLatencies m_times;
+  RegionLatencies m_region_latencies;
   double m_rejections = 0;
 };
 
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -141,9 +141,9 @@
   request.m_arrived = now;
   if (m_is_loading) {
     // An existing table may be seconds old: it could name a route's former
-    // service, and servers may have become cold since. A refusal would cost the
-    // client one of its few retries and the time until then; loading takes less
-    // than that.
+    // service, and servers may have become cold since. A refusal would use up
+    // one of the client's few retries, and the response to the retry would be
+    // late; loading ends before the client would retry.
     request.m_awaits_table = true;
     request.m_deadline =
         now + std::min<Duration>(request.m_facts.m_time_left, kMaxHoldTime);
@@ -170,8 +170,8 @@
     return;
   }
   // The split over regions must be computed from the servers before the first
-  // request starts limiting it. Started with all requests in the own region, it
-  // took ten seconds to shift.
+  // request, after which it shifts only slowly. Started with all requests in
+  // the own region, it took ten seconds to shift.
   UpdateShares(now);
   std::list<RequestId> held;
   held.swap(m_awaiting_table);
@@ -246,26 +246,26 @@
 
 MovedAwayBounds Steering::ShiftBounds(const SteeredService& moving,
                                       TimePoint now) const {
-  double least_away = 1;
-  double most_away = -1;
+  double min_moved_away = 1;
+  double max_moved_away = -1;
   for (const auto& [name, service] : m_services) {
     const RegionShares& shares = service->Shares();
     if (!shares.HasStarted()) {
       continue;
     }
-    least_away = std::min(least_away, shares.MovedAway());
+    min_moved_away = std::min(min_moved_away, shares.MovedAway());
     // Moving back home brings this service closer to those that are already
     // there. Services without servers at home or without requests do not move,
     // and would keep all others away permanently.
     const bool holds_back = service->IsInUse(now) && shares.HasOwnSlots() &&
                             shares.OwnShare() < moving.Shares().OwnShare();
     if (holds_back) {
-      most_away = std::max(most_away, shares.MovedAway());
+      max_moved_away = std::max(max_moved_away, shares.MovedAway());
     }
   }
   const double max_skew = m_settings.m_max_shift * kServiceSkewFraction;
-  return {.m_min = most_away - max_skew,
-          .m_max = std::max(0.0, least_away) + max_skew};
+  return {.m_min = max_moved_away - max_skew,
+          .m_max = std::max(0.0, min_moved_away) + max_skew};
 }
 
 void Steering::UpdateShares(TimePoint now) {
--- a/src/steer/steering.h
+++ b/src/steer/steering.h
@@ -87,17 +87,17 @@
   /// Applies loads that were reported to another entry VM.
   void ApplyPeerLoads(const std::vector<ServerLoad>& loads, TimePoint now);
 
-  // Requests that servers crashed under.
+  // Requests that may crash servers.
   /// Result of a CheckServerReachable action.
   void ServerChecked(const std::string& instance,
                      ServerReach reach,
                      TimePoint now);
-  /// Applies another VM's report that a server crashed under a request; `age`
-  /// is the time since the crash.
-  void ApplyPeerCrash(const CrashRecord& fact, Duration age, TimePoint now);
-  /// Drops a crash fact because another VM saw the request answered, or an
+  /// Applies another VM's report that a server crashed while it ran a request;
+  /// `age` is the time since the crash.
+  void ApplyPeerCrash(const CrashRecord& record, Duration age, TimePoint now);
+  /// Drops a crash record because another VM saw the request answered, or an
   /// operator released it.
-  void DropCrash(const CrashRecord& fact, TimePoint now);
+  void DropCrash(const CrashRecord& record, TimePoint now);
   const CrashRegister& Crashes() const { return m_crashes; }
 
   // Quotas of organisations.
@@ -107,9 +107,9 @@
     m_may_be_replaced = may_be;
     m_server_limits.SetMayBeReplaced(may_be);
   }
-  /// Answers another entry VM that asks this one as a keeper.
-  QuotaGrant AnswerQuotaAsk(const QuotaRequest& ask, TimePoint now);
-  /// Answer to an AskForTokens action.
+  /// Responds as a keeper to a quota request of another entry VM.
+  QuotaGrant AnswerQuotaAsk(const QuotaRequest& quota_request, TimePoint now);
+  /// Applies the response to an AskForTokens action.
   void ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now);
 
   const RoutingTable* Table() const { return m_table.get(); }
@@ -162,8 +162,8 @@
   /// Begins the request with a token of its organisation's quota, holds it
   /// until one is granted, or refuses it.
   void TakeToken(SteeredRequest& request, TimePoint now);
-  /// Sends questions to quota keepers; questions to this VM are answered at
-  /// once.
+  /// Sends the pending quota requests to their keepers; those to this VM are
+  /// answered at once.
   void AskKeepers(TimePoint now);
   void SettleQuota(const std::vector<QuotaOutcome>& outcomes, TimePoint now);
   /// Returns the token of a request that did not run.
@@ -233,16 +233,15 @@
 
   /// Whether this run of the server is the known one.
   bool IsListed(const ServerState& server) const;
-  /// Whether the server may have crashed, so that losing an attempt there may
-  /// be due to that.
+  /// Whether an attempt that the server lost may mean that it crashed.
   bool MayHaveCrashed(const ServerState& server) const;
-  /// Whether a server crashed under the request.
+  /// Whether a server crashed while it ran the request.
   bool IsSuspect(const SteeredRequest& request, TimePoint now) const;
   static CrashReport ReportOf(const SteeredRequest& request,
                               const ServerState& server);
-  /// Whether crashes under the request forbid to send it again.
-  bool IsResendForbidden(const SteeredRequest& request, TimePoint now) const;
-  /// Handles the loss of an attempt; the server may have crashed under it.
+  /// Whether the crashes counted for the request forbid a retry.
+  bool IsRetryForbidden(const SteeredRequest& request, TimePoint now) const;
+  /// Handles the loss of an attempt; the server may have crashed.
   void CountLost(SteeredRequest& request,
                  const ServerState& server,
                  bool server_ended,
@@ -286,7 +285,7 @@
   /// By the server's instance.
   std::map<std::string, std::vector<PendingCrashCheck>> m_pending_crash_checks;
   /// Value in 0..1 derived from the VM's name, so that the VMs remove expired
-  /// crash facts at different times.
+  /// crash records at different times.
   double m_removal_spread = 0;
   TimePoint m_crashes_swept{};
 };
--- a/src/steer/steering_crashes.cc
+++ b/src/steer/steering_crashes.cc
@@ -29,8 +29,8 @@
   return m_crashes.CrashCount(request.m_facts.m_digest, now) > 0;
 }
 
-bool Steering::IsResendForbidden(const SteeredRequest& request,
-                                 TimePoint now) const {
+bool Steering::IsRetryForbidden(const SteeredRequest& request,
+                                TimePoint now) const {
   return m_crashes.CrashCount(request.m_facts.m_digest, now) >=
          kCrashesToDelayRetry;
 }
@@ -49,8 +49,9 @@
   }
   const size_t crashes =
       m_crashes.CrashCount(request.m_facts.m_digest, now) + 1;
-  // Retried before the check, the request could crash the next server. It does
-  // not wait if this was its first loss and no crash is known for it.
+  // If the request were retried before the check, it could crash the next
+  // server. It does not wait if this was its first loss and no crash is known
+  // for it.
   request.m_awaits_check =
       request.m_route->m_idempotent && request.m_live_attempts.empty() &&
       std::max<size_t>(crashes, request.m_lost_sends) >= kCrashesToDelayRetry;
@@ -68,9 +69,9 @@
 void Steering::CheckServer(const SteeredRequest& request,
                            const ServerState& server) {
   const ServerEntry& entry = server.Entry();
-  auto& unsettled = m_pending_crash_checks[entry.m_instance];
-  unsettled.push_back({request.m_facts.m_request, ReportOf(request, server)});
-  if (unsettled.size() == 1) {
+  auto& pending = m_pending_crash_checks[entry.m_instance];
+  pending.push_back({request.m_facts.m_request, ReportOf(request, server)});
+  if (pending.size() == 1) {
     m_sink(CheckServerReachable{entry.m_instance, entry.m_address});
   }
 }
@@ -82,9 +83,9 @@
   if (it == m_pending_crash_checks.end()) {
     return;
   }
-  const std::vector<PendingCrashCheck> ends = std::move(it->second);
+  const std::vector<PendingCrashCheck> checks = std::move(it->second);
   m_pending_crash_checks.erase(it);
-  for (const PendingCrashCheck& end : ends) {
+  for (const PendingCrashCheck& end : checks) {
     if (reach == ServerReach::kRefusesConnections) {
       NoteOwnCrash(end.m_report, now);
     }
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -1,4 +1,4 @@
-/// @file steering_ends.cc CrashCount of requests and of their attempts.
+/// @file steering_ends.cc How requests and their attempts end.
 
 #include <algorithm>
 #include <optional>
@@ -112,8 +112,8 @@
       }
     }
   }
-  // The current run knows nothing of these requests, and their connections may
-  // stay silent. Without this, callers would wait until their deadlines for
+  // The requests of the previous run are lost, and their connections may stay
+  // silent. Without this, callers would wait until their deadlines for
   // responses that can no longer arrive.
   AttemptReport lost;
   lost.m_end = AttemptEnd::kLost;
--- a/src/steer/steering_requests.cc
+++ b/src/steer/steering_requests.cc
@@ -113,7 +113,7 @@
   if (request.m_may_have_run && !request.m_route->m_idempotent) {
     return false;
   }
-  if (request.m_lost_sends > 0 && IsResendForbidden(request, now)) {
+  if (request.m_lost_sends > 0 && IsRetryForbidden(request, now)) {
     return false;
   }
   const Duration usual = Service(request.m_service).Usual().m_latency;
@@ -173,7 +173,7 @@
       {attempt, m_servers.at(entry.m_instance), now});
   request.m_tried.push_back(entry.m_instance);
   ++request.m_started_sends;
-  const size_t most_kept = MaxIdleConnections(
+  const size_t max_idle_connections = MaxIdleConnections(
       RulesOf(entry.m_service).m_max_connections, m_picker.Fleet().size());
   m_sink(
       SendToServer{.m_request = request.m_facts.m_request,
@@ -184,7 +184,7 @@
                    .m_idempotent = request.m_route->m_idempotent,
                    .m_organisation = NameOf(request.m_organisation),
                    .m_strips_key = request.m_table->m_organisations.has_value(),
-                   .m_max_idle_connections = most_kept,
+                   .m_max_idle_connections = max_idle_connections,
                    .m_service = request.m_service,
                    .m_region = m_regions[server->Region()],
                    .m_occupancy = server->Occupancy(now),
@@ -237,8 +237,8 @@
     if (report.m_end == AttemptEnd::kLost) {
       CountLost(request, *server, report.m_server_ended, now);
     }
-    // The request may already have been answered by being held back due to this
-    // outcome.
+    // This outcome may have caused the request to be held back; it has been
+    // refused then.
     const bool is_open = m_requests.contains(id);
     if (is_open && !request.m_awaits_check) {
       RetryOrFail(request, attempt, report.m_end, now);
--- a/tests/crash_world.cc
+++ b/tests/crash_world.cc
@@ -53,8 +53,11 @@
   std::vector<Work> m_work;
 };
 
-CrashWorld::CrashWorld(size_t vms, size_t servers, uint32_t seed, Duration news)
-    : m_propagation_delay(news), m_random(seed) {
+CrashWorld::CrashWorld(size_t vms,
+                       size_t servers,
+                       uint32_t seed,
+                       Duration propagation_delay)
+    : m_propagation_delay(propagation_delay), m_random(seed) {
   auto table = std::make_shared<RoutingTable>();
   table->m_version = 1;
   table->m_routes = {MakeRoute("/read/", true)};
@@ -253,9 +256,9 @@
   if (caller == m_vms[vm]->m_callers.end()) {
     return;
   }
-  const auto told = std::move(caller->second);
+  const auto callback = std::move(caller->second);
   m_vms[vm]->m_callers.erase(caller);
-  told(end);
+  callback(end);
 }
 
 void CrashWorld::Send(size_t vm, const SendToServer& action) {
--- a/tests/crash_world.h
+++ b/tests/crash_world.h
@@ -40,7 +40,7 @@
   CrashWorld(size_t vms,
              size_t servers,
              uint32_t seed,
-             Duration news = milliseconds(300));
+             Duration propagation_delay = milliseconds(300));
   ~CrashWorld();
 
   void RunFor(Duration time);
--- a/tests/quota_gate_test.cc
+++ b/tests/quota_gate_test.cc
@@ -207,16 +207,19 @@
   organisation.m_burst = 10;
   const TimePoint now(seconds(100));
   keeper.FleetChanged(now);
-  const QuotaRequest ask{.m_subject = HashOrganisation("acme"), .m_tokens = 8};
+  const QuotaRequest quota_request{.m_subject = HashOrganisation("acme"),
+                                   .m_tokens = 8};
   cr_assert_eq(
-      keeper.Grant(ask, TermsOf(organisation), 1, now + seconds(5)).m_tokens,
+      keeper.Grant(quota_request, TermsOf(organisation), 1, now + seconds(5))
+          .m_tokens,
       8);
 }
 
 Test(QuotaMessages, Encoded_Decoded_AreTheSame) {
-  const std::string ask = EncodeQuotaMessage(QuotaRequest{
+  const std::string quota_request = EncodeQuotaMessage(QuotaRequest{
       .m_subject = HashOrganisation("acme"), .m_number = 7, .m_tokens = 3});
-  const auto read = DecodeQuotaMessage(ask.data(), ask.size());
+  const auto read =
+      DecodeQuotaMessage(quota_request.data(), quota_request.size());
   cr_assert_eq(std::get<QuotaRequest>(*read).m_subject,
                HashOrganisation("acme"));
   cr_assert_eq(std::get<QuotaRequest>(*read).m_number, 7);
@@ -319,10 +322,10 @@
   const RequestId id = fixture.ArriveWithKey("/read/x", "k");
   fixture.m_steering.ClientLeft(id, fixture.m_now);
   cr_assert_eq(fixture.m_steering.AwaitingTokens(), 0);
-  const QuotaRequest ask =
+  const QuotaRequest quota_request =
       fixture.Last<AskForTokens>()->m_question.m_quota_request;
-  fixture.m_steering.ApplyQuotaGrant({.m_subject = ask.m_subject,
-                                      .m_number = ask.m_number,
+  fixture.m_steering.ApplyQuotaGrant({.m_subject = quota_request.m_subject,
+                                      .m_number = quota_request.m_number,
                                       .m_tokens = 1,
                                       .m_is_keeper = true},
                                      fixture.m_now);
@@ -333,12 +336,14 @@
 // keeper.
 Test(Quotas, NotTheKeeper_QuotaRequest_IsGrantedNothing) {
   LimitFixture fixture;
-  const QuotaRequest ask{.m_subject = HashOrganisation("acme"), .m_tokens = 1};
-  cr_assert(fixture.m_steering.AnswerQuotaAsk(ask, fixture.m_now).m_is_keeper);
+  const QuotaRequest quota_request{.m_subject = HashOrganisation("acme"),
+                                   .m_tokens = 1};
+  cr_assert(fixture.m_steering.AnswerQuotaAsk(quota_request, fixture.m_now)
+                .m_is_keeper);
   fixture.m_steering.SetFleet({{"vm-9", "10.0.0.9:80", "d1", "r1"}},
                               fixture.m_now);
-  cr_assert_not(
-      fixture.m_steering.AnswerQuotaAsk(ask, fixture.m_now).m_is_keeper);
+  cr_assert_not(fixture.m_steering.AnswerQuotaAsk(quota_request, fixture.m_now)
+                    .m_is_keeper);
 }
 
 }  // namespace
--- a/tests/server_limit_test.cc
+++ b/tests/server_limit_test.cc
@@ -117,10 +117,11 @@
 
   /// Grants the last quota request as the keeper.
   void Grant() {
-    const QuotaRequest ask = Last<AskForTokens>()->m_question.m_quota_request;
-    m_steering.ApplyQuotaGrant({.m_subject = ask.m_subject,
-                                .m_number = ask.m_number,
-                                .m_tokens = ask.m_tokens,
+    const QuotaRequest quota_request =
+        Last<AskForTokens>()->m_question.m_quota_request;
+    m_steering.ApplyQuotaGrant({.m_subject = quota_request.m_subject,
+                                .m_number = quota_request.m_number,
+                                .m_tokens = quota_request.m_tokens,
                                 .m_is_keeper = true},
                                m_now);
   }
--- a/tests/steering_mix_test.cc
+++ b/tests/steering_mix_test.cc
@@ -11,7 +11,7 @@
 namespace sorrelplank {
 namespace {
 
-constexpr double kMostShift = 0.15;
+constexpr double kMaxShift = 0.15;
 /// Requests in one window of these tests.
 constexpr uint64_t kRequests = 400;
 
@@ -101,7 +101,7 @@
   g_fixture->RunWithRoomAtHome(seconds(30));
   const double before = g_fixture->HomeFraction(2);
   const double after = g_fixture->HomeFraction(kRequests);
-  cr_assert_leq(std::abs(after - before), kMostShift, "%.2f at home, then %.2f",
+  cr_assert_leq(std::abs(after - before), kMaxShift, "%.2f at home, then %.2f",
                 before, after);
 }
 
--- a/tests/steering_restart_test.cc
+++ b/tests/steering_restart_test.cc
@@ -67,9 +67,9 @@
   cr_assert_eq(g_fixture->m_steering.ServerCount(), 2);
 }
 
-// A server crashes and restarts under its id. The new run knows nothing of the
-// old run's requests, and their connections may stay silent, so that callers
-// would wait until their deadlines. A read must go to another server at once.
+// A server crashes and restarts under its id. The old run's requests are lost,
+// and their connections may stay silent, so that callers would wait until their
+// deadlines. A read must go to another server at once.
 Test(SteeringRestart, ReadUnderWay_ServerStartsAgain_GoesElsewhereAtOnce) {
   const SendToServer lost = g_fixture->SendToA("/read/x");
   g_fixture->PutRun(kSecondStart);
--- a/tests/steering_test.cc
+++ b/tests/steering_test.cc
@@ -168,9 +168,9 @@
   }
 }
 
-// Both servers of the region fail at once, as when no object is cached yet.
+// Both servers of the region stall at once, as when no object is cached yet.
 // Nothing proves that they are down; refusing all requests, or moving the whole
-// region elsewhere, would be worse than sending on.
+// region elsewhere, would be worse than continuing to send to them.
 Test(Steering, AllServersEjected_RequestArrives_IsStillSent) {
   for (int round = 0; round < 4; ++round) {
     g_fixture->Arrive("/read/x");
@@ -198,7 +198,7 @@
 // window; they must stay within the ratio and the extra.
 Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheWhole) {
   const size_t requests = 100;
-  size_t resends = 0;
+  size_t retries = 0;
   for (int life = 0; life < 2; ++life) {
     SteeringFixture fixture;
     for (size_t request = 0; request < requests / 2; ++request) {
@@ -208,12 +208,12 @@
         fixture.End(*fixture.Last<SendToServer>(), AttemptEnd::kRejected);
       }
       const size_t sends = fixture.Count<SendToServer>() - before;
-      resends += sends > 1 ? sends - 1 : 0;
+      retries += sends > 1 ? sends - 1 : 0;
       fixture.Pass(milliseconds(80));
     }
   }
-  cr_assert_gt(resends, 10);
-  cr_assert_leq(resends, requests / 5 + 10, "%zu", resends);
+  cr_assert_gt(retries, 10);
+  cr_assert_leq(retries, requests / 5 + 10, "%zu", retries);
 }
 
 // The process is about to exit. A new request on an open connection must be
--- a/tests/steering_unsent_test.cc
+++ b/tests/steering_unsent_test.cc
@@ -48,8 +48,8 @@
 }
 
 // The first server refuses the connection, and the second one, the first to
-// receive the request, rejects it. A route that allows two sends allows one
-// more.
+// receive the request, rejects it. The first one does not count towards the two
+// servers that the route allows, so one more is allowed.
 Test(SteeringUnsent, Unsent_ThenRejected_GoesToAThirdServer) {
   g_fixture->PutServer("c", "d1");
   g_fixture->Arrive("/write/x");
--- a/tests/steering_work_test.cc
+++ b/tests/steering_work_test.cc
@@ -94,24 +94,24 @@
 // two VMs would then send an object to different servers.
 Test(SteeringWork, ObjectRanking_ServersComeAndGo_EqualsAFreshRanking) {
   std::mt19937 random(7);
-  ObjectRanking kept;
-  std::vector<std::unique_ptr<ServerState>> tracks;
+  ObjectRanking updated;
+  std::vector<std::unique_ptr<ServerState>> states;
   std::vector<ServerState*> all;
   for (int step = 0; step < 2000; ++step) {
     const bool adds = all.empty() || random() % 100 < 52;
     if (adds) {
-      tracks.push_back(std::make_unique<ServerState>(
+      states.push_back(std::make_unique<ServerState>(
           MakeEntry("i-" + std::to_string(step), "d1"), 0, TimePoint{}));
-      all.push_back(tracks.back().get());
-      kept.Add(all.back());
+      all.push_back(states.back().get());
+      updated.Add(all.back());
     } else {
       const auto gone =
           all.begin() + static_cast<std::ptrdiff_t>(random() % all.size());
-      kept.Remove(*gone);
+      updated.Remove(*gone);
       all.erase(gone);
     }
     const uint64_t object = random() % 5;
-    const auto order = kept.TopServers(object, all);
+    const auto order = updated.TopServers(object, all);
     const auto fresh = ObjectRanking().TopServers(object, all);
     cr_assert_geq(order.size(), std::min<size_t>(4, all.size()));
     cr_assert_leq(order.size(), fresh.size());
