--- a/src/steer/server_limits.cc
+++ b/src/steer/server_limits.cc
@@ -21,7 +21,8 @@
 /// requests in 4 s.
 constexpr double kMinRequestsPerSecond = 0.25;
 /// Divides the share of a keeper that may have been replaced: cut off together
-/// with VMs that still ask it, it grants tokens in addition to its replacement.
+/// with VMs that still send it quota requests, it grants tokens in addition to
+/// its replacement.
 constexpr size_t kShareDivisorIfReplaced = 3;
 /// A VM of another region asks for a token again this long after the limit was
 /// last named: only a response shows that the limit has ended.
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -26,8 +26,8 @@
 /// differ much, a mere change of the traffic mix moves requests. At the end of
 /// a burst, with two thirds of the requests belonging to a service that had
 /// moved half away, requests shifted by 0.35 in 2 s. With one of two services
-/// back home and the other not, the end of the other's requests shifted 0.32;
-/// with this limit 0.06.
+/// back in the own region and the other not, the end of the other's requests
+/// shifted 0.32; with this limit 0.06.
 constexpr double kServiceSkewFraction = 1;
 
 /// All regions in the order of their numbers.
@@ -254,9 +254,9 @@
       continue;
     }
     min_moved_away = std::min(min_moved_away, shares.MovedAway());
-    // Moving back home brings this service closer to those that are already
-    // there. Services without servers at home or without requests do not move,
-    // and would keep all others away permanently.
+    // Moving back to the own region brings this service closer to those that
+    // already run there. Services without servers in the own region or without
+    // requests do not move, and would keep all others away permanently.
     const bool holds_back = service->IsInUse(now) && shares.HasOwnSlots() &&
                             shares.OwnShare() < moving.Shares().OwnShare();
     if (holds_back) {
--- a/src/steer/steering_quotas.cc
+++ b/src/steer/steering_quotas.cc
@@ -9,7 +9,8 @@
 namespace {
 
 /// Divides the share of a keeper that may have been replaced: cut off together
-/// with VMs that still ask it, it grants tokens in addition to its replacement.
+/// with VMs that still send it quota requests, it grants tokens in addition to
+/// its replacement.
 constexpr size_t kShareDivisorIfReplaced = 3;
 
 }  // namespace
--- a/src/steer/weighted_round_robin.cc
+++ b/src/steer/weighted_round_robin.cc
@@ -13,16 +13,16 @@
   const double total = std::accumulate(weights.begin(), weights.end(), 0.0);
   Invariant(total > 0, "at least one weight is positive");
   size_t best = weights.size();
-  for (size_t part = 0; part < weights.size(); ++part) {
-    if (weights[part] <= 0) {
+  for (size_t item = 0; item < weights.size(); ++item) {
+    if (weights[item] <= 0) {
       // Credit left from an earlier positive weight would cause a burst when
       // the weight becomes positive again.
-      m_credit[part] = 0;
+      m_credit[item] = 0;
       continue;
     }
-    m_credit[part] += weights[part] / total;
-    if (best == weights.size() || m_credit[part] > m_credit[best]) {
-      best = part;
+    m_credit[item] += weights[item] / total;
+    if (best == weights.size() || m_credit[item] > m_credit[best]) {
+      best = item;
     }
   }
   m_credit[best] -= 1;
--- a/tests/region_shift_test.cc
+++ b/tests/region_shift_test.cc
@@ -46,16 +46,16 @@
 
   /// Fraction of the requests of the next window that each region runs.
   Counts RunWindow(const std::vector<RegionLoad>& loads) {
-    Counts parts{};
+    Counts fractions{};
     for (int step = 0; step < kStepsPerWindow; ++step) {
       m_now += kStep;
       m_shares.Update(loads, kMaxShiftPerSecond, {.m_max = kMaxShift}, m_now);
       for (uint64_t request = 0; request < kRequestsPerStep; ++request) {
         const size_t region = m_shares.RegionOf(m_next_object++, kAll);
-        parts.at(region) += 1.0 / (kRequestsPerStep * kStepsPerWindow);
+        fractions.at(region) += 1.0 / (kRequestsPerStep * kStepsPerWindow);
       }
     }
-    return parts;
+    return fractions;
   }
 
   /// Largest change between two adjacent windows, as a fraction of requests.
--- a/tests/steering_test.cc
+++ b/tests/steering_test.cc
@@ -199,7 +199,7 @@
 Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheWhole) {
   const size_t requests = 100;
   size_t retries = 0;
-  for (int life = 0; life < 2; ++life) {
+  for (int run = 0; run < 2; ++run) {
     SteeringFixture fixture;
     for (size_t request = 0; request < requests / 2; ++request) {
       const size_t before = fixture.Count<SendToServer>();
