--- a/bench/quota_bench.cc
+++ b/bench/quota_bench.cc
@@ -143,9 +143,9 @@
     gate.Arrived(RequestId(static_cast<uint64_t>(round)),
                  HashOrganisation(organisation.m_name), TermsOf(organisation),
                  now);
-    for (const AddressedQuotaRequest& question : gate.TakeQuotaRequests()) {
+    for (const AddressedQuotaRequest& request : gate.TakeQuotaRequests()) {
       gate.TakeGrant(
-          keeper.Grant(question.m_quota_request, TermsOf(organisation), 1, now),
+          keeper.Grant(request.m_quota_request, TermsOf(organisation), 1, now),
           now);
     }
   });
--- a/src/core/holdings.cc
+++ b/src/core/holdings.cc
@@ -211,7 +211,7 @@
     if (heard.m_name == m_self) {
       has_heard_claim = heard.m_incarnation == m_incarnation &&
                         heard.m_sequence >= entry.m_claim_sequence;
-    } else if (!view.m_members.Knows(heard.m_name)) {
+    } else if (!view.m_members.Contains(heard.m_name)) {
       // It lists a sibling that is unknown here and may hold the server.
       return false;
     }
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -60,7 +60,7 @@
 
   /// The member of this name, alive or not; nullptr if unknown.
   Member* Find(const VmName& name);
-  bool Knows(const VmName& name) const { return m_members.contains(name); }
+  bool Contains(const VmName& name) const { return m_members.contains(name); }
 
   /// Other live VMs of the same place.
   std::vector<const Member*> LiveSiblings(TimePoint now) const;
--- a/src/core/node_membership.cc
+++ b/src/core/node_membership.cc
@@ -313,8 +313,8 @@
 
 void Node::ContactUnknownSiblings(const VmRecord& record) {
   for (const HeardHeartbeat& heard : record.m_heard) {
-    const bool is_new =
-        heard.m_name != m_identity.m_name && !m_membership.Knows(heard.m_name);
+    const bool is_new = heard.m_name != m_identity.m_name &&
+                        !m_membership.Contains(heard.m_name);
     if (is_new) {
       Send(heard.m_name, heard.m_address,
            RecordsFor(m_identity.m_place, false, m_now));
--- a/src/proxy/quota_exchange.cc
+++ b/src/proxy/quota_exchange.cc
@@ -104,11 +104,10 @@
   }
 }
 
-void QuotaExchange::SendRequest(const AddressedQuotaRequest& question) {
-  const auto address = m_addresses.find(question.m_keeper);
+void QuotaExchange::SendRequest(const AddressedQuotaRequest& request) {
+  const auto address = m_addresses.find(request.m_keeper);
   if (address != m_addresses.end()) {
-    m_socket.Send(EncodeQuotaMessage(question.m_quota_request),
-                  address->second);
+    m_socket.Send(EncodeQuotaMessage(request.m_quota_request), address->second);
   }
 }
 
--- a/src/proxy/quota_exchange.h
+++ b/src/proxy/quota_exchange.h
@@ -46,7 +46,7 @@
   /// this VM.
   void SetFleet(const std::vector<FleetMember>& fleet);
   /// Sends the request to its keeper; drops it if the keeper is unknown.
-  void SendRequest(const AddressedQuotaRequest& question);
+  void SendRequest(const AddressedQuotaRequest& request);
 
   const DatagramSocket& Socket() const { return m_socket; }
 
--- a/src/proxy/request_proxy.cc
+++ b/src/proxy/request_proxy.cc
@@ -282,7 +282,7 @@
                {"reason", row.m_name},
                {"content", FormatDigest(open.m_digest)},
                {"organisation", action.m_organisation},
-               {"ends", static_cast<int64_t>(action.m_ends)},
+               {"ends", static_cast<int64_t>(action.m_crashes)},
                {"verdict", VerdictName(row.m_verdict)},
                {"waited_ms", LogMs(action.m_waited)},
                {"sends", int64_t{action.m_sends}},
@@ -335,8 +335,8 @@
   });
 }
 
-void RequestProxy::Handle(const AskForTokens& action) {
-  m_send_quota_request(action.m_question);
+void RequestProxy::Handle(const SendQuotaRequest& action) {
+  m_send_quota_request(action.m_request);
 }
 
 void RequestProxy::Handle(const RequestSuspected& action) {
@@ -347,21 +347,22 @@
                {"service", report.m_service},
                {"host", report.m_host},
                {"path", report.m_path},
-               {"ends", static_cast<int64_t>(action.m_ends)}});
+               {"ends", static_cast<int64_t>(action.m_crashes)}});
   m_on_crash_update(report);
 }
 
 void RequestProxy::Handle(const RequestHeld& action) {
-  m_log.Write("request_held", {{"content", FormatDigest(action.m_digest)},
-                               {"ends", static_cast<int64_t>(action.m_ends)}});
+  m_log.Write("request_held",
+              {{"content", FormatDigest(action.m_digest)},
+               {"ends", static_cast<int64_t>(action.m_crashes)}});
 }
 
 void RequestProxy::Handle(const HoldEnded& action) {
   m_log.Write("request_released", {{"content", FormatDigest(action.m_digest)}});
 }
 
-void RequestProxy::Handle(const CrashesForgotten& action) {
-  for (const CrashRecord& record : action.m_facts) {
+void RequestProxy::Handle(const CrashesDropped& action) {
+  for (const CrashRecord& record : action.m_records) {
     m_log.Write("suspicion_ended", {{"content", FormatDigest(record.m_digest)},
                                     {"server", record.m_run},
                                     {"reason", action.m_reason}});
--- a/src/proxy/request_proxy.h
+++ b/src/proxy/request_proxy.h
@@ -27,7 +27,7 @@
 class ProxyMetrics;
 
 /// Message to the other VMs about requests that crash servers.
-using CrashUpdate = std::variant<CrashReport, CrashesForgotten>;
+using CrashUpdate = std::variant<CrashReport, CrashesDropped>;
 
 /// Accepts client requests, sends them to backend servers and returns the
 /// responses. All routing decisions are made by Steering; this class executes
@@ -90,8 +90,8 @@
   void Handle(const RequestSuspected& action);
   void Handle(const RequestHeld& action);
   void Handle(const HoldEnded& action);
-  void Handle(const CrashesForgotten& action);
-  void Handle(const AskForTokens& action);
+  void Handle(const CrashesDropped& action);
+  void Handle(const SendQuotaRequest& action);
 
   /// Determines the caller from the routing table in force.
   CallerIdentity IdentifyCaller(const RequestFacts& facts) const;
--- a/src/serve/call_gateway.cc
+++ b/src/serve/call_gateway.cc
@@ -70,7 +70,7 @@
   pending.m_request_id = FormatRequestId(m_driver.Core().Identity(), id);
   pending.m_service_name = std::move(parsed.m_service_name);
   pending.m_service = parsed.m_call.m_service;
-  pending.m_keeps_response = parsed.m_call.m_key != KeyHash();
+  pending.m_stores_response = parsed.m_call.m_key != KeyHash();
   pending.m_arrived = SteadyNow();
   m_by_connection.emplace(request.m_connection, id);
   m_pending.emplace(id, std::move(pending));
@@ -252,8 +252,8 @@
 
 void CallGateway::Execute(const ForwardAnswer& action) {
   PendingCall& pending = m_pending.at(action.m_request);
-  if (pending.m_keeps_response) {
-    m_stored_responses.Keep(action.m_request, pending.m_response);
+  if (pending.m_stores_response) {
+    m_stored_responses.Store(action.m_request, pending.m_response);
   }
   Finish(action.m_request, pending.m_response, Verdict::kRan, "", {}, {});
 }
--- a/src/serve/pending_call_type.h
+++ b/src/serve/pending_call_type.h
@@ -38,7 +38,7 @@
   std::string m_request_id;
   std::string m_service_name;
   NameHash m_service;
-  bool m_keeps_response = false;
+  bool m_stores_response = false;
   TimePoint m_arrived{};
   /// Response to the current attempt.
   HttpResponse m_response;
--- a/src/serve/response_store.cc
+++ b/src/serve/response_store.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void ResponseStore::Keep(RequestId request, const HttpResponse& response) {
+void ResponseStore::Store(RequestId request, const HttpResponse& response) {
   m_bytes += response.m_body.size() + kEntryOverheadBytes;
   m_responses[request] = response;
   m_insertion_order.push_back(request);
--- a/src/serve/response_store.h
+++ b/src/serve/response_store.h
@@ -20,7 +20,7 @@
  public:
   explicit ResponseStore(size_t max_bytes) : m_max_bytes(max_bytes) {}
 
-  void Keep(RequestId request, const HttpResponse& response);
+  void Store(RequestId request, const HttpResponse& response);
   /// Returns nullptr if no response is stored, as after eviction.
   const HttpResponse* Find(RequestId request) const;
 
--- a/src/steer/quota_gate.cc
+++ b/src/steer/quota_gate.cc
@@ -57,7 +57,7 @@
   if (TakeToken(account, now)) {
     const bool runs_low = account.m_tokens * 2 < TokensToPrefetch(account);
     if (runs_low && !account.m_pending && now >= account.m_refused_until) {
-      Ask(subject, account, 0, false, now);
+      RequestTokens(subject, account, 0, false, now);
     }
     return QuotaVerdict::kPass;
   }
@@ -67,7 +67,7 @@
   // If no keeper responded to the last quota request, requests do not wait for
   // one that might.
   const bool is_sent =
-      account.m_pending || Ask(subject, account, 0, false, now);
+      account.m_pending || RequestTokens(subject, account, 0, false, now);
   account.m_has_reached_keeper &= is_sent;
   if (account.m_has_reached_keeper) {
     account.m_waiting.push_back(request);
@@ -131,7 +131,7 @@
     const bool is_short = grant.m_tokens < pending.m_tokens;
     pending.m_region += is_short ? 1 : 0;
     if (is_short || !account.m_waiting.empty()) {
-      AskNext(grant.m_subject, account, pending, now, outcomes);
+      RequestFromNextKeeper(grant.m_subject, account, pending, now, outcomes);
     }
     return outcomes;
   }
@@ -155,15 +155,15 @@
     PendingRequest pending = *std::exchange(account.m_pending, std::nullopt);
     m_silent_keepers[pending.m_keeper] = now + kSilentKeeperBackoff;
     ++pending.m_region;
-    AskNext(sent.m_subject, account, pending, now, outcomes);
+    RequestFromNextKeeper(sent.m_subject, account, pending, now, outcomes);
   }
   std::erase_if(m_silent_keepers,
                 [now](const auto& one) { return now >= one.second; });
-  ForgetUnused(now);
+  DropUnused(now);
   return outcomes;
 }
 
-void QuotaGate::ForgetUnused(TimePoint now) {
+void QuotaGate::DropUnused(TimePoint now) {
   if (now - m_last_sweep < kSweepInterval) {
     return;
   }
@@ -222,11 +222,11 @@
   return true;
 }
 
-bool QuotaGate::Ask(QuotaSubject subject,
-                    Account& account,
-                    size_t region,
-                    bool has_reached_keeper,
-                    TimePoint now) {
+bool QuotaGate::RequestTokens(QuotaSubject subject,
+                              Account& account,
+                              size_t region,
+                              bool has_reached_keeper,
+                              TimePoint now) {
   for (; region < m_regions.size(); ++region) {
     const std::string& keeper =
         m_directory.KeeperIn(m_regions[region], subject);
@@ -259,13 +259,13 @@
   }
 }
 
-void QuotaGate::AskNext(QuotaSubject subject,
-                        Account& account,
-                        const PendingRequest& previous,
-                        TimePoint now,
-                        std::vector<QuotaOutcome>& outcomes) {
-  const bool is_sent = Ask(subject, account, previous.m_region,
-                           previous.m_has_reached_keeper, now);
+void QuotaGate::RequestFromNextKeeper(QuotaSubject subject,
+                                      Account& account,
+                                      const PendingRequest& previous,
+                                      TimePoint now,
+                                      std::vector<QuotaOutcome>& outcomes) {
+  const bool is_sent = RequestTokens(subject, account, previous.m_region,
+                                     previous.m_has_reached_keeper, now);
   if (!is_sent) {
     account.m_has_reached_keeper = previous.m_has_reached_keeper;
     RefuseWaiting(account, now, outcomes);
--- a/src/steer/quota_gate.h
+++ b/src/steer/quota_gate.h
@@ -123,13 +123,13 @@
   /// Number of tokens to hold for requests to come.
   uint32_t TokensToPrefetch(const Account& account) const;
   bool TakeToken(Account& account, TimePoint now) const;
-  /// Asks the first keeper that is not known as silent, starting at `region`.
-  /// Returns false if there is none.
-  bool Ask(QuotaSubject subject,
-           Account& account,
-           size_t region,
-           bool has_reached_keeper,
-           TimePoint now);
+  /// Requests tokens from the first keeper that is not known as silent,
+  /// starting at `region`. Returns false if there is none.
+  bool RequestTokens(QuotaSubject subject,
+                     Account& account,
+                     size_t region,
+                     bool has_reached_keeper,
+                     TimePoint now);
   /// Decides all waiting requests without a token.
   void RefuseWaiting(Account& account,
                      TimePoint now,
@@ -138,13 +138,13 @@
                     TimePoint now,
                     std::vector<QuotaOutcome>& outcomes) const;
   /// Continues after a keeper that had too few tokens or did not respond.
-  void AskNext(QuotaSubject subject,
-               Account& account,
-               const PendingRequest& previous,
-               TimePoint now,
-               std::vector<QuotaOutcome>& outcomes);
+  void RequestFromNextKeeper(QuotaSubject subject,
+                             Account& account,
+                             const PendingRequest& previous,
+                             TimePoint now,
+                             std::vector<QuotaOutcome>& outcomes);
   QuotaVerdict VerdictWithoutToken(Account& account, TimePoint now) const;
-  void ForgetUnused(TimePoint now);
+  void DropUnused(TimePoint now);
 
   std::vector<std::string> m_regions;
   QuotaBounds m_bounds;
--- a/src/steer/quota_keeper.cc
+++ b/src/steer/quota_keeper.cc
@@ -59,7 +59,7 @@
           .m_wait = std::clamp<Duration>(wait, kMinRetryAfter, kMaxRetryAfter)};
 }
 
-void QuotaKeeper::ForgetUnused(TimePoint now) {
+void QuotaKeeper::DropUnused(TimePoint now) {
   std::erase_if(m_states, [now](const auto& one) {
     return now - one.second.m_last_request > kUnusedExpiry;
   });
--- a/src/steer/quota_keeper.h
+++ b/src/steer/quota_keeper.h
@@ -36,7 +36,7 @@
                    TimePoint now);
 
   /// Drops quotas without recent requests.
-  void ForgetUnused(TimePoint now);
+  void DropUnused(TimePoint now);
 
   size_t Count() const { return m_states.size(); }
 
--- a/src/steer/server_limits.cc
+++ b/src/steer/server_limits.cc
@@ -181,8 +181,8 @@
     const auto more = ForwardQuotaRequests(gate, now);
     outcomes.insert(outcomes.end(), more.begin(), more.end());
   }
-  m_keeper.ForgetUnused(now);
-  ForgetUnused(now);
+  m_keeper.DropUnused(now);
+  DropUnused(now);
   return outcomes;
 }
 
@@ -211,7 +211,7 @@
   return count;
 }
 
-void ServerLimits::ForgetUnused(TimePoint now) {
+void ServerLimits::DropUnused(TimePoint now) {
   if (now - m_last_sweep < kSweepInterval) {
     return;
   }
--- a/src/steer/server_limits.h
+++ b/src/steer/server_limits.h
@@ -61,7 +61,7 @@
   std::vector<AddressedQuotaRequest> TakeQuotaRequests();
   /// Whether the quota is a server's limit that this VM sent or received quota
   /// requests for.
-  bool Knows(QuotaSubject subject) const {
+  bool Contains(QuotaSubject subject) const {
     return m_known_limits.contains(subject);
   }
   std::vector<QuotaOutcome> TakeGrant(const QuotaGrant& grant, TimePoint now);
@@ -95,7 +95,7 @@
   /// answered at once.
   std::vector<QuotaOutcome> ForwardQuotaRequests(QuotaGate& gate,
                                                  TimePoint now);
-  void ForgetUnused(TimePoint now);
+  void DropUnused(TimePoint now);
 
   std::string m_vm;
   std::string m_region;
--- a/src/steer/server_notices.cc
+++ b/src/steer/server_notices.cc
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-void ServerNotices::Take(const ServerNotice& notice,
-                         bool may_end_limit,
-                         TimePoint now) {
+void ServerNotices::Apply(const ServerNotice& notice,
+                          bool may_end_limit,
+                          TimePoint now) {
   m_was_malformed |= notice.m_is_malformed;
   m_is_leaving |= notice.m_is_leaving;
   if (notice.m_pause) {
--- a/src/steer/server_notices.h
+++ b/src/steer/server_notices.h
@@ -17,7 +17,7 @@
   /// Applies the notices of a response. A response without a limit ends the
   /// limit if `may_end_limit`, which is false for errors and rejections:
   /// another part of the server may produce these.
-  void Take(const ServerNotice& notice, bool may_end_limit, TimePoint now);
+  void Apply(const ServerNotice& notice, bool may_end_limit, TimePoint now);
 
   /// Requests per second that it accepts from all entry VMs together.
   std::optional<double> MaxPerSecond() const { return m_max_per_second; }
--- a/src/steer/server_state.cc
+++ b/src/steer/server_state.cc
@@ -116,8 +116,8 @@
     m_unshared_report_at = now;
   }
   if (report.m_notice) {
-    m_notices.Take(*report.m_notice, report.m_end == AttemptEnd::kAnswered,
-                   now);
+    m_notices.Apply(*report.m_notice, report.m_end == AttemptEnd::kAnswered,
+                    now);
   }
   if (report.m_end == AttemptEnd::kRejected) {
     CountRejection(report, now);
--- a/src/steer/steer_action_type.h
+++ b/src/steer/steer_action_type.h
@@ -76,7 +76,7 @@
   /// Servers skipped because they ask for no more requests.
   uint32_t m_passed_over = 0;
   /// Servers that crashed while they ran the request.
-  size_t m_ends = 0;
+  size_t m_crashes = 0;
 };
 
 /// For logs only: the assumed state of a server, service or failure domain
@@ -118,13 +118,13 @@
 struct RequestSuspected {
   CrashReport m_report;
   /// Servers that crashed while they ran the request, as known to this VM.
-  size_t m_ends = 0;
+  size_t m_crashes = 0;
 };
 
 /// For logs only: a request is held back from now on.
 struct RequestHeld {
   RequestDigest m_digest;
-  size_t m_ends = 0;
+  size_t m_crashes = 0;
 };
 
 /// For logs only: a request is no longer held back, because of a report from
@@ -134,16 +134,16 @@
 };
 
 /// These crash records no longer count; to be reported to the other VMs.
-struct CrashesForgotten {
-  std::vector<CrashRecord> m_facts;
+struct CrashesDropped {
+  std::vector<CrashRecord> m_records;
   /// "answered" or "expired".
   const char* m_reason = "";
 };
 
 /// Send a quota request to another entry VM; its grant is passed to
 /// ApplyQuotaGrant.
-struct AskForTokens {
-  AddressedQuotaRequest m_question;
+struct SendQuotaRequest {
+  AddressedQuotaRequest m_request;
 };
 
 using SteerAction = std::variant<SendToServer,
@@ -157,8 +157,8 @@
                                  RequestSuspected,
                                  RequestHeld,
                                  HoldEnded,
-                                 CrashesForgotten,
-                                 AskForTokens>;
+                                 CrashesDropped,
+                                 SendQuotaRequest>;
 
 }  // namespace sorrelplank
 
--- a/src/steer/steering.cc
+++ b/src/steer/steering.cc
@@ -288,7 +288,7 @@
     UpdateShares(now);
   }
   SettleQuota(m_quota_gate.Tick(now), now);
-  m_quota_keeper.ForgetUnused(now);
+  m_quota_keeper.DropUnused(now);
   SettleServerTokens(m_server_limits.Tick(now), now);
   std::vector<RequestId> ids;
   ids.reserve(m_requests.size());
@@ -301,7 +301,7 @@
   for (auto& [name, service] : m_services) {
     ServeWaiting(*service, now);
   }
-  ForgetOldCrashes(now);
+  DropExpiredCrashes(now);
 }
 
 }  // namespace sorrelplank
--- a/src/steer/steering.h
+++ b/src/steer/steering.h
@@ -108,8 +108,8 @@
     m_server_limits.SetMayBeReplaced(may_be);
   }
   /// Responds as a keeper to a quota request of another entry VM.
-  QuotaGrant AnswerQuotaAsk(const QuotaRequest& quota_request, TimePoint now);
-  /// Applies the response to an AskForTokens action.
+  QuotaGrant GrantQuota(const QuotaRequest& quota_request, TimePoint now);
+  /// Applies the response to a SendQuotaRequest action.
   void ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now);
 
   const RoutingTable* Table() const { return m_table.get(); }
@@ -164,7 +164,7 @@
   void TakeToken(SteeredRequest& request, TimePoint now);
   /// Sends the pending quota requests to their keepers; those to this VM are
   /// answered at once.
-  void AskKeepers(TimePoint now);
+  void SendQuotaRequests(TimePoint now);
   void SettleQuota(const std::vector<QuotaOutcome>& outcomes, TimePoint now);
   /// Returns the token of a request that did not run.
   void ReturnToken(SteeredRequest& request, TimePoint now);
@@ -210,7 +210,7 @@
   void CancelLiveAttempts(SteeredRequest& request,
                           bool counts_as_lost,
                           TimePoint now);
-  void Forget(RequestId id);
+  void RemoveRequest(RequestId id);
   /// Records the outcome of an attempt, and reports changes of the server's
   /// status.
   void CountEnd(ServerState& server,
@@ -252,7 +252,7 @@
   /// Ends all requests in progress with this digest.
   void HoldBack(const RequestDigest& digest, TimePoint now);
   void ClearSuspicion(const RequestDigest& digest, TimePoint now);
-  void ForgetOldCrashes(TimePoint now);
+  void DropExpiredCrashes(TimePoint now);
 
   SteeringSettings m_settings;
   Sink m_sink;
--- a/src/steer/steering_crashes.cc
+++ b/src/steer/steering_crashes.cc
@@ -85,11 +85,11 @@
   }
   const std::vector<PendingCrashCheck> checks = std::move(it->second);
   m_pending_crash_checks.erase(it);
-  for (const PendingCrashCheck& end : checks) {
+  for (const PendingCrashCheck& check : checks) {
     if (reach == ServerReach::kRefusesConnections) {
-      NoteOwnCrash(end.m_report, now);
+      NoteOwnCrash(check.m_report, now);
     }
-    const auto request = m_requests.find(end.m_request);
+    const auto request = m_requests.find(check.m_request);
     if (request != m_requests.end() && request->second.m_awaits_check) {
       request->second.m_awaits_check = false;
       RetryOrFail(request->second, AttemptId(), AttemptEnd::kLost, now);
@@ -148,10 +148,10 @@
   if (m_crashes.CrashCount(digest, now) == 0) {
     return;
   }
-  m_sink(CrashesForgotten{m_crashes.Clear(digest), "answered"});
+  m_sink(CrashesDropped{m_crashes.Clear(digest), "answered"});
 }
 
-void Steering::ForgetOldCrashes(TimePoint now) {
+void Steering::DropExpiredCrashes(TimePoint now) {
   if (now - m_crashes_swept < kCrashSweepInterval) {
     return;
   }
@@ -159,7 +159,7 @@
   std::vector<CrashRecord> expired =
       m_crashes.TakeExpired(m_removal_spread, now);
   if (!expired.empty()) {
-    m_sink(CrashesForgotten{std::move(expired), "expired"});
+    m_sink(CrashesDropped{std::move(expired), "expired"});
   }
 }
 
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -26,7 +26,7 @@
   refusal.m_waited = now - request.m_arrived;
   refusal.m_table_version = m_table ? m_table->m_version : 0;
   refusal.m_sends = static_cast<uint32_t>(request.m_tried.size());
-  refusal.m_ends = m_crashes.CrashCount(request.m_facts.m_digest, now);
+  refusal.m_crashes = m_crashes.CrashCount(request.m_facts.m_digest, now);
   refusal.m_organisation = NameOf(request.m_organisation);
   if (!request.m_service.empty()) {
     SteeredService& service = Service(request.m_service);
@@ -62,7 +62,7 @@
   }
   refusal.m_reason = reason;
   m_sink(refusal);
-  Forget(refusal.m_request);
+  RemoveRequest(refusal.m_request);
 }
 
 Duration Steering::TimeUntilServerAvailable(const SteeredRequest& request,
@@ -200,7 +200,7 @@
   }
 }
 
-void Steering::Forget(RequestId id) {
+void Steering::RemoveRequest(RequestId id) {
   const auto it = m_requests.find(id);
   if (it->second.m_is_queued) {
     Service(it->second.m_service).Waiting().remove(id);
--- a/src/steer/steering_limits.cc
+++ b/src/steer/steering_limits.cc
@@ -11,7 +11,7 @@
                                TimePoint now) {
   const QuotaVerdict verdict =
       m_server_limits.Arrived(request.m_facts.m_request, *server, now);
-  AskKeepers(now);
+  SendQuotaRequests(now);
   switch (verdict) {
     case QuotaVerdict::kPass:
       Send(request, server, now);
@@ -41,7 +41,7 @@
     }
     Dispatch(request, now);
   }
-  AskKeepers(now);
+  SendQuotaRequests(now);
 }
 
 void Steering::StopAwaitingServer(SteeredRequest& request) {
--- a/src/steer/steering_quotas.cc
+++ b/src/steer/steering_quotas.cc
@@ -24,24 +24,24 @@
   if (!request.m_awaits_token) {
     SettleQuota({{id, verdict}}, now);
   }
-  AskKeepers(now);
+  SendQuotaRequests(now);
 }
 
-void Steering::AskKeepers(TimePoint now) {
+void Steering::SendQuotaRequests(TimePoint now) {
   for (AddressedQuotaRequest& addressed : m_quota_gate.TakeQuotaRequests()) {
     if (addressed.m_keeper == m_settings.m_vm) {
-      ApplyQuotaGrant(AnswerQuotaAsk(addressed.m_quota_request, now), now);
+      ApplyQuotaGrant(GrantQuota(addressed.m_quota_request, now), now);
     } else {
-      m_sink(AskForTokens{std::move(addressed)});
+      m_sink(SendQuotaRequest{std::move(addressed)});
     }
   }
   for (AddressedQuotaRequest& addressed : m_server_limits.TakeQuotaRequests()) {
-    m_sink(AskForTokens{std::move(addressed)});
+    m_sink(SendQuotaRequest{std::move(addressed)});
   }
 }
 
-QuotaGrant Steering::AnswerQuotaAsk(const QuotaRequest& quota_request,
-                                    TimePoint now) {
+QuotaGrant Steering::GrantQuota(const QuotaRequest& quota_request,
+                                TimePoint now) {
   if (quota_request.m_limit) {
     return m_server_limits.Grant(quota_request, now);
   }
@@ -65,12 +65,12 @@
 }
 
 void Steering::ApplyQuotaGrant(const QuotaGrant& grant, TimePoint now) {
-  if (m_server_limits.Knows(grant.m_subject)) {
+  if (m_server_limits.Contains(grant.m_subject)) {
     SettleServerTokens(m_server_limits.TakeGrant(grant, now), now);
     return;
   }
   SettleQuota(m_quota_gate.TakeGrant(grant, now), now);
-  AskKeepers(now);
+  SendQuotaRequests(now);
 }
 
 void Steering::SettleQuota(const std::vector<QuotaOutcome>& outcomes,
--- a/src/steer/steering_requests.cc
+++ b/src/steer/steering_requests.cc
@@ -231,7 +231,7 @@
     ClearSuspicion(request.m_facts.m_digest, now);
     CancelLiveAttempts(request, false, now);
     m_sink(ForwardServerAnswer{id, attempt});
-    Forget(id);
+    RemoveRequest(id);
   } else {
     request.m_may_have_run |= !ProvesNotRun(report.m_end);
     if (report.m_end == AttemptEnd::kLost) {
@@ -260,7 +260,7 @@
   }
   if (end == AttemptEnd::kServerError || end == AttemptEnd::kDeadlineExceeded) {
     m_sink(ForwardServerAnswer{request.m_facts.m_request, attempt});
-    Forget(request.m_facts.m_request);
+    RemoveRequest(request.m_facts.m_request);
     return;
   }
   Refuse(request, SteerRefusal::kRetriesSpent, now);
@@ -294,7 +294,7 @@
     ReturnToken(it->second, now);
   }
   CancelLiveAttempts(it->second, false, now);
-  Forget(id);
+  RemoveRequest(id);
 }
 
 void Steering::CheckDeadline(SteeredRequest& request, TimePoint now) {
--- a/tests/crash_record_writer_test.cc
+++ b/tests/crash_record_writer_test.cc
@@ -93,7 +93,7 @@
 Test(CrashRecordWriter, Answered_BeforeTheCall_KeyIsRemoved) {
   WriterFixture fixture;
   fixture.RecordCrash("a");
-  fixture.m_writer->Record(CrashesForgotten{{{kDigest, "a"}}, "answered"});
+  fixture.m_writer->Record(CrashesDropped{{{kDigest, "a"}}, "answered"});
   fixture.RunUntilCalls(1);
   cr_assert(fixture.m_calls[0]["Put"].empty());
   cr_assert_eq(fixture.m_calls[0]["Remove"].size(), 1);
--- a/tests/crash_world.cc
+++ b/tests/crash_simulation.cc
@@ -1,6 +1,7 @@
-/// @file crash_world.cc Links, servers and callers of the crash simulation.
+/// @file crash_simulation.cc Links, servers and callers of the crash
+/// simulation.
 
-#include "tests/crash_world.h"
+#include "tests/crash_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -26,16 +27,16 @@
 
 }  // namespace
 
-struct CrashWorld::Vm {
+struct CrashSimulation::Vm {
   std::unique_ptr<Steering> m_steering;
-  std::map<RequestId, std::function<void(CrashWorldEnd)>> m_callers;
+  std::map<RequestId, std::function<void(CrashSimulationOutcome)>> m_callers;
   std::map<RequestId, RequestDigest> m_digests;
   /// It exchanges no crash records with other VMs.
   bool m_is_cut_off = false;
 };
 
 /// A send at a server.
-struct CrashWorld::Work {
+struct CrashSimulation::Work {
   uint64_t m_id = 0;
   size_t m_vm = 0;
   RequestId m_request;
@@ -44,7 +45,7 @@
   bool m_runs = false;
 };
 
-struct CrashWorld::Server {
+struct CrashSimulation::Server {
   size_t m_number = 0;
   std::string m_domain;
   /// Instance of the current run; empty while the server is down.
@@ -53,10 +54,10 @@
   std::vector<Work> m_work;
 };
 
-CrashWorld::CrashWorld(size_t vms,
-                       size_t servers,
-                       uint32_t seed,
-                       Duration propagation_delay)
+CrashSimulation::CrashSimulation(size_t vms,
+                                 size_t servers,
+                                 uint32_t seed,
+                                 Duration propagation_delay)
     : m_propagation_delay(propagation_delay), m_random(seed) {
   auto table = std::make_shared<RoutingTable>();
   table->m_version = 1;
@@ -84,9 +85,9 @@
   RunFor(seconds(1));
 }
 
-CrashWorld::~CrashWorld() = default;
+CrashSimulation::~CrashSimulation() = default;
 
-void CrashWorld::StartVm(size_t vm) {
+void CrashSimulation::StartVm(size_t vm) {
   SteeringSettings settings = MakeSettings();
   settings.m_vm = m_fleet[vm].m_vm;
   settings.m_failure_domain = m_fleet[vm].m_failure_domain;
@@ -99,7 +100,7 @@
   steering->SetFleet(m_fleet, m_queue.Now());
 }
 
-void CrashWorld::Restart(size_t vm) {
+void CrashSimulation::Restart(size_t vm) {
   m_vms[vm]->m_digests.clear();
   m_vms[vm]->m_callers.clear();
   StartVm(vm);
@@ -114,11 +115,11 @@
   }
 }
 
-void CrashWorld::CutOffFromCrashRecords(size_t vm) {
+void CrashSimulation::CutOffFromCrashRecords(size_t vm) {
   m_vms[vm]->m_is_cut_off = true;
 }
 
-void CrashWorld::RunFor(Duration time) {
+void CrashSimulation::RunFor(Duration time) {
   const TimePoint end = m_queue.Now() + time;
   bool is_over = false;
   for (TimePoint tick = m_queue.Now(); tick < end; tick += kTick) {
@@ -133,70 +134,71 @@
   }
 }
 
-size_t CrashWorld::RandomVm() {
+size_t CrashSimulation::RandomVm() {
   return m_random() % m_vms.size();
 }
 
-void CrashWorld::MakeCrashing(const RequestDigest& digest) {
+void CrashSimulation::MakeCrashing(const RequestDigest& digest) {
   m_crashing[digest];
 }
 
-bool CrashWorld::Crashes(const RequestDigest& digest) const {
+bool CrashSimulation::Crashes(const RequestDigest& digest) const {
   return m_crashing.contains(digest);
 }
 
-void CrashWorld::SendRequest(size_t vm,
-                             const RequestDigest& digest,
-                             uint64_t object) {
+void CrashSimulation::SendRequest(size_t vm,
+                                  const RequestDigest& digest,
+                                  uint64_t object) {
   const RequestId id(m_next++);
   m_vms[vm]->m_digests[id] = digest;
   m_vms[vm]->m_steering->Arrived(
       {id, "h", "/read/x", object, kClientTimeout, digest}, m_queue.Now());
 }
 
-void CrashWorld::StartNormalRequests(int per_second) {
+void CrashSimulation::StartNormalRequests(int per_second) {
   m_queue.After(Duration{seconds(1)} / per_second,
                 [this, per_second] { SendNormalRequest(per_second); });
 }
 
-void CrashWorld::SendNormalRequest(int per_second) {
+void CrashSimulation::SendNormalRequest(int per_second) {
   ++m_normal.m_sent;
   SendNormalAttempt({.m_high = 1, .m_low = m_next}, m_random() % kObjects, 1);
   StartNormalRequests(per_second);
 }
 
-void CrashWorld::SendNormalAttempt(const RequestDigest& digest,
-                                   uint64_t object,
-                                   int retries) {
+void CrashSimulation::SendNormalAttempt(const RequestDigest& digest,
+                                        uint64_t object,
+                                        int retries) {
   const size_t vm = RandomVm();
   const RequestId id(m_next);
   m_vms[vm]->m_callers[id] = [this, digest, object,
-                              retries](CrashWorldEnd end) {
-    if (end != CrashWorldEnd::kAnswered && retries > 0) {
+                              retries](CrashSimulationOutcome end) {
+    if (end != CrashSimulationOutcome::kAnswered && retries > 0) {
       m_queue.After(kTimeToCrash, [this, digest, object, retries] {
         SendNormalAttempt(digest, object, retries - 1);
       });
       return;
     }
-    m_normal.m_answered += end == CrashWorldEnd::kAnswered ? 1 : 0;
-    m_normal.m_refused += end == CrashWorldEnd::kRefused ? 1 : 0;
-    m_normal.m_failed += end == CrashWorldEnd::kFailed ? 1 : 0;
+    m_normal.m_answered += end == CrashSimulationOutcome::kAnswered ? 1 : 0;
+    m_normal.m_refused += end == CrashSimulationOutcome::kRefused ? 1 : 0;
+    m_normal.m_failed += end == CrashSimulationOutcome::kFailed ? 1 : 0;
   };
   SendRequest(vm, digest, object);
 }
 
-void CrashWorld::Take(size_t vm, const SteerAction& action) {
+void CrashSimulation::Take(size_t vm, const SteerAction& action) {
   if (const auto* send = std::get_if<SendToServer>(&action)) {
     Send(vm, *send);
   } else if (const auto* cancel = std::get_if<CancelSend>(&action)) {
     Cancel(vm, *cancel);
   } else if (const auto* answer = std::get_if<ForwardServerAnswer>(&action)) {
-    Finish(vm, answer->m_request, CrashWorldEnd::kAnswered);
+    Finish(vm, answer->m_request, CrashSimulationOutcome::kAnswered);
   } else if (const auto* refusal = std::get_if<RefuseRequest>(&action)) {
     const bool is_not_run =
         DescribeSteerRefusal(refusal->m_reason).m_verdict == Verdict::kNotRun;
     Finish(vm, refusal->m_request,
-           is_not_run ? CrashWorldEnd::kRefused : CrashWorldEnd::kFailed);
+           is_not_run ? CrashSimulationOutcome::kRefused
+                      : CrashSimulationOutcome::kFailed);
   } else if (const auto* check = std::get_if<CheckServerReachable>(&action)) {
     Check(vm, *check);
   } else if (const auto* suspected = std::get_if<RequestSuspected>(&action)) {
@@ -204,14 +206,14 @@
     PublishCrash(vm, suspected->m_report.m_record, true);
   } else if (std::holds_alternative<RequestHeld>(action)) {
     ++m_held_back;
-  } else if (const auto* forgotten = std::get_if<CrashesForgotten>(&action)) {
-    for (const CrashRecord& record : forgotten->m_facts) {
+  } else if (const auto* dropped = std::get_if<CrashesDropped>(&action)) {
+    for (const CrashRecord& record : dropped->m_records) {
       PublishCrash(vm, record, false);
     }
   }
 }
 
-void CrashWorld::Check(size_t vm, const CheckServerReachable& action) {
+void CrashSimulation::Check(size_t vm, const CheckServerReachable& action) {
   m_queue.After(2 * kLink, [this, vm, instance = action.m_instance] {
     const bool is_up = std::any_of(
         m_servers.begin(), m_servers.end(),
@@ -224,9 +226,9 @@
   });
 }
 
-void CrashWorld::PublishCrash(size_t vm,
-                              const CrashRecord& record,
-                              bool counts) {
+void CrashSimulation::PublishCrash(size_t vm,
+                                   const CrashRecord& record,
+                                   bool counts) {
   if (m_vms[vm]->m_is_cut_off) {
     return;
   }
@@ -250,7 +252,9 @@
   });
 }
 
-void CrashWorld::Finish(size_t vm, RequestId request, CrashWorldEnd end) {
+void CrashSimulation::Finish(size_t vm,
+                             RequestId request,
+                             CrashSimulationOutcome end) {
   m_vms[vm]->m_digests.erase(request);
   const auto caller = m_vms[vm]->m_callers.find(request);
   if (caller == m_vms[vm]->m_callers.end()) {
@@ -261,11 +265,11 @@
   callback(end);
 }
 
-void CrashWorld::Send(size_t vm, const SendToServer& action) {
+void CrashSimulation::Send(size_t vm, const SendToServer& action) {
   m_queue.After(kLink, [this, vm, action] { Deliver(vm, action); });
 }
 
-void CrashWorld::Deliver(size_t vm, const SendToServer& action) {
+void CrashSimulation::Deliver(size_t vm, const SendToServer& action) {
   const auto digest = m_vms[vm]->m_digests.find(action.m_request);
   if (digest == m_vms[vm]->m_digests.end()) {
     return;
@@ -291,7 +295,7 @@
   RunQueued(server);
 }
 
-void CrashWorld::RunQueued(Server& server) {
+void CrashSimulation::RunQueued(Server& server) {
   auto running = std::count_if(server.m_work.begin(), server.m_work.end(),
                                [](const Work& work) { return work.m_runs; });
   for (Work& work : server.m_work) {
@@ -309,7 +313,7 @@
   }
 }
 
-void CrashWorld::FinishWork(Server& server, uint64_t id) {
+void CrashSimulation::FinishWork(Server& server, uint64_t id) {
   const auto it =
       std::find_if(server.m_work.begin(), server.m_work.end(),
                    [id](const Work& work) { return work.m_id == id; });
@@ -327,7 +331,7 @@
   RunQueued(server);
 }
 
-void CrashWorld::Reply(const Work& work, AttemptEnd end) {
+void CrashSimulation::Reply(const Work& work, AttemptEnd end) {
   m_queue.After(kLink, [this, work, end] {
     AttemptReport report;
     report.m_end = end;
@@ -337,7 +341,7 @@
   });
 }
 
-void CrashWorld::Cancel(size_t vm, const CancelSend& action) {
+void CrashSimulation::Cancel(size_t vm, const CancelSend& action) {
   m_queue.After(kLink, [this, vm, attempt = action.m_attempt] {
     for (const auto& server : m_servers) {
       std::erase_if(server->m_work, [&](const Work& work) {
@@ -348,18 +352,18 @@
   });
 }
 
-void CrashWorld::LoseAll(Server& server) {
+void CrashSimulation::LoseAll(Server& server) {
   const std::vector<Work> lost = std::exchange(server.m_work, {});
   for (const Work& work : lost) {
     Reply(work, AttemptEnd::kLost);
   }
 }
 
-void CrashWorld::ResetConnections(size_t server) {
+void CrashSimulation::ResetConnections(size_t server) {
   LoseAll(*m_servers[server]);
 }
 
-void CrashWorld::Crash(size_t number) {
+void CrashSimulation::Crash(size_t number) {
   Server& server = *m_servers[number];
   LoseAll(server);
   const std::string instance = std::exchange(server.m_instance, "");
@@ -371,7 +375,7 @@
   });
 }
 
-void CrashWorld::StartServer(Server& server) {
+void CrashSimulation::StartServer(Server& server) {
   if (!server.m_instance.empty()) {
     return;
   }
@@ -387,20 +391,20 @@
   });
 }
 
-ServerEntry CrashWorld::EntryOf(const Server& server,
-                                Duration cold_left) const {
+ServerEntry CrashSimulation::EntryOf(const Server& server,
+                                     Duration cold_left) const {
   return {
       server.m_instance, "s",    {static_cast<uint32_t>(server.m_number), 80},
       server.m_domain,   kSlots, false,
       cold_left};
 }
 
-size_t CrashWorld::CrashedRuns(const RequestDigest& digest) const {
+size_t CrashSimulation::CrashedRuns(const RequestDigest& digest) const {
   return m_crashing.at(digest).m_crash_times.size();
 }
 
-size_t CrashWorld::ArrivalsAfterThirdCrash(const RequestDigest& digest,
-                                           Duration later_than) const {
+size_t CrashSimulation::ArrivalsAfterThirdCrash(const RequestDigest& digest,
+                                                Duration later_than) const {
   const History& history = m_crashing.at(digest);
   if (history.m_crash_times.size() < 3) {
     return 0;
--- a/tests/crash_world.h
+++ b/tests/crash_simulation.h
@@ -1,8 +1,8 @@
-/// @file crash_world.h Simulation in virtual time of entry VMs, backend servers
-/// and callers, where some requests crash the server that runs them.
+/// @file crash_simulation.h Simulation in virtual time of entry VMs, backend
+/// servers and callers, where some requests crash the server that runs them.
 
-#ifndef SORRELPLANK_TESTS_CRASH_WORLD_H_
-#define SORRELPLANK_TESTS_CRASH_WORLD_H_
+#ifndef SORRELPLANK_TESTS_CRASH_SIMULATION_H_
+#define SORRELPLANK_TESTS_CRASH_SIMULATION_H_
 
 #include <cstdint>
 #include <functional>
@@ -19,14 +19,14 @@
 namespace sorrelplank {
 
 /// Outcome of one request of a caller.
-enum class CrashWorldEnd : uint8_t {
+enum class CrashSimulationOutcome : uint8_t {
   kAnswered,
   kRefused,  ///< Not run.
   kFailed,   ///< It may have run.
 };
 
 /// Counts of normal requests.
-struct CrashWorldCounts {
+struct CrashSimulationCounts {
   size_t m_sent = 0;
   size_t m_answered = 0;
   size_t m_refused = 0;
@@ -35,13 +35,13 @@
 
 /// Each VM runs the real Steering. Changes of servers and crash records reach
 /// every VM through the store after a propagation delay.
-class CrashWorld {
+class CrashSimulation {
  public:
-  CrashWorld(size_t vms,
-             size_t servers,
-             uint32_t seed,
-             Duration propagation_delay = milliseconds(300));
-  ~CrashWorld();
+  CrashSimulation(size_t vms,
+                  size_t servers,
+                  uint32_t seed,
+                  Duration propagation_delay = milliseconds(300));
+  ~CrashSimulation();
 
   void RunFor(Duration time);
 
@@ -73,7 +73,7 @@
   /// its third crash.
   size_t ArrivalsAfterThirdCrash(const RequestDigest& digest,
                                  Duration later_than) const;
-  const CrashWorldCounts& Normal() const { return m_normal; }
+  const CrashSimulationCounts& Normal() const { return m_normal; }
   /// Events in which a VM suspected, or held back, a request of any kind.
   size_t Suspected() const { return m_suspected; }
   size_t HeldBack() const { return m_held_back; }
@@ -92,7 +92,7 @@
   void Check(size_t vm, const CheckServerReachable& action);
   void PublishCrash(size_t vm, const CrashRecord& record, bool counts);
   void Cancel(size_t vm, const CancelSend& action);
-  void Finish(size_t vm, RequestId request, CrashWorldEnd end);
+  void Finish(size_t vm, RequestId request, CrashSimulationOutcome end);
   void Deliver(size_t vm, const SendToServer& action);
   void RunQueued(Server& server);
   void FinishWork(Server& server, uint64_t work);
@@ -118,11 +118,11 @@
   std::shared_ptr<const RoutingTable> m_table;
   std::vector<FleetMember> m_fleet;
   uint64_t m_next = 1;
-  CrashWorldCounts m_normal;
+  CrashSimulationCounts m_normal;
   size_t m_suspected = 0;
   size_t m_held_back = 0;
 };
 
 }  // namespace sorrelplank
 
-#endif  // SORRELPLANK_TESTS_CRASH_WORLD_H_
+#endif  // SORRELPLANK_TESTS_CRASH_SIMULATION_H_
--- a/tests/crashing_request_test.cc
+++ b/tests/crashing_request_test.cc
@@ -6,7 +6,7 @@
 #include <initializer_list>
 #include <string>
 
-#include "tests/crash_world.h"
+#include "tests/crash_simulation.h"
 #include "tests/steering_fixture.h"
 
 namespace sorrelplank {
@@ -18,13 +18,13 @@
 
 /// A caller repeats a crashing request at random VMs for half a minute, while
 /// other callers send normal requests.
-void RepeatCrashingRequest(CrashWorld& world) {
-  world.MakeCrashing(kCrashing);
-  world.StartNormalRequests(120);
-  world.RunFor(seconds(3));
+void RepeatCrashingRequest(CrashSimulation& simulation) {
+  simulation.MakeCrashing(kCrashing);
+  simulation.StartNormalRequests(120);
+  simulation.RunFor(seconds(3));
   for (int attempt = 0; attempt < 60; ++attempt) {
-    world.SendRequest(world.RandomVm(), kCrashing, 4);
-    world.RunFor(milliseconds(500));
+    simulation.SendRequest(simulation.RandomVm(), kCrashing, 4);
+    simulation.RunFor(milliseconds(500));
   }
 }
 
@@ -36,13 +36,13 @@
 // attempt it was still 43 to 46, so retries were not the cause.
 Test(CrashingRequest, Repeated_AfterThirdCrash_ReachesThreeMoreAtMost) {
   for (uint32_t seed = 1; seed <= 5; ++seed) {
-    CrashWorld world(12, 14, seed);
-    RepeatCrashingRequest(world);
+    CrashSimulation simulation(12, 14, seed);
+    RepeatCrashingRequest(simulation);
     const size_t reached =
-        world.ArrivalsAfterThirdCrash(kCrashing, kPropagationTime);
+        simulation.ArrivalsAfterThirdCrash(kCrashing, kPropagationTime);
     cr_expect_leq(reached, 3,
                   "seed %u: %zu sends after the third crash, %zu crashed", seed,
-                  reached, world.CrashedRuns(kCrashing));
+                  reached, simulation.CrashedRuns(kCrashing));
   }
 }
 
@@ -50,42 +50,43 @@
 // comes ten times a second at random VMs. Servers may crash only until the
 // records have propagated.
 Test(CrashingRequest, ManyVms_LateCrashRecords_ReachesThreeMoreAtMost) {
-  CrashWorld world(30, 60, 1, seconds(2));
-  world.MakeCrashing(kCrashing);
-  world.StartNormalRequests(120);
-  world.RunFor(seconds(3));
+  CrashSimulation simulation(30, 60, 1, seconds(2));
+  simulation.MakeCrashing(kCrashing);
+  simulation.StartNormalRequests(120);
+  simulation.RunFor(seconds(3));
   for (int attempt = 0; attempt < 200; ++attempt) {
-    world.SendRequest(world.RandomVm(), kCrashing, 4);
-    world.RunFor(milliseconds(100));
+    simulation.SendRequest(simulation.RandomVm(), kCrashing, 4);
+    simulation.RunFor(milliseconds(100));
   }
-  cr_assert_leq(world.ArrivalsAfterThirdCrash(kCrashing, kPropagationTime), 3);
+  cr_assert_leq(simulation.ArrivalsAfterThirdCrash(kCrashing, kPropagationTime),
+                3);
 }
 
 // One VM gets no crash records of the others. It may send the request only
 // until it has seen three crashes itself.
 Test(CrashingRequest, Repeated_OneVmCutOff_CrashesThreeMoreThere) {
-  CrashWorld world(12, 14, 1);
-  world.CutOffFromCrashRecords(5);
-  RepeatCrashingRequest(world);
+  CrashSimulation simulation(12, 14, 1);
+  simulation.CutOffFromCrashRecords(5);
+  RepeatCrashingRequest(simulation);
   for (int attempt = 0; attempt < 20; ++attempt) {
-    world.SendRequest(5, kCrashing, 4);
-    world.RunFor(seconds(1));
+    simulation.SendRequest(5, kCrashing, 4);
+    simulation.RunFor(seconds(1));
   }
-  cr_assert_leq(world.CrashedRuns(kCrashing), 6);
+  cr_assert_leq(simulation.CrashedRuns(kCrashing), 6);
 }
 
 // The request is held back. A restarted VM that did not read the crash records
 // would send it until it has seen three crashes itself.
 Test(CrashingRequest, HeldBack_RestartedVm_HoldsItBackToo) {
-  CrashWorld world(12, 14, 1);
-  RepeatCrashingRequest(world);
-  const size_t ended = world.CrashedRuns(kCrashing);
-  for (size_t vm = 0; vm < world.Vms(); ++vm) {
-    world.Restart(vm);
-    world.SendRequest(vm, kCrashing, 4);
-    world.RunFor(seconds(1));
+  CrashSimulation simulation(12, 14, 1);
+  RepeatCrashingRequest(simulation);
+  const size_t ended = simulation.CrashedRuns(kCrashing);
+  for (size_t vm = 0; vm < simulation.Vms(); ++vm) {
+    simulation.Restart(vm);
+    simulation.SendRequest(vm, kCrashing, 4);
+    simulation.RunFor(seconds(1));
   }
-  cr_assert_eq(world.CrashedRuns(kCrashing), ended);
+  cr_assert_eq(simulation.CrashedRuns(kCrashing), ended);
 }
 
 // Servers crash for other reasons, one after the other, under load. None of the
@@ -93,26 +94,26 @@
 // refused for a day.
 Test(CrashingRequest, ServersCrashForOtherReasons_NoRequest_IsHeldBack) {
   for (uint32_t seed = 1; seed <= 5; ++seed) {
-    CrashWorld world(12, 14, seed);
-    world.StartNormalRequests(300);
+    CrashSimulation simulation(12, 14, seed);
+    simulation.StartNormalRequests(300);
     for (size_t second = 0; second < 60; ++second) {
-      world.Crash(second % 14);
-      world.RunFor(seconds(1));
+      simulation.Crash(second % 14);
+      simulation.RunFor(seconds(1));
     }
-    cr_assert_eq(world.HeldBack(), 0, "seed %u", seed);
+    cr_assert_eq(simulation.HeldBack(), 0, "seed %u", seed);
   }
 }
 
 // A server closes its connections and keeps running. The requests there may be
 // retried; they crashed no server.
 Test(CrashingRequest, ConnectionsReset_NoRequest_IsSuspected) {
-  CrashWorld world(12, 14, 1);
-  world.StartNormalRequests(300);
+  CrashSimulation simulation(12, 14, 1);
+  simulation.StartNormalRequests(300);
   for (size_t second = 0; second < 30; ++second) {
-    world.ResetConnections(second % 14);
-    world.RunFor(seconds(1));
+    simulation.ResetConnections(second % 14);
+    simulation.RunFor(seconds(1));
   }
-  cr_assert_eq(world.Suspected(), 0);
+  cr_assert_eq(simulation.Suspected(), 0);
 }
 
 /// A single VM with crash records of one request.
@@ -139,7 +140,7 @@
   CrashRecordFixture fixture;
   fixture.AddCrashes({"old-1", "old-2"});
   fixture.End(fixture.SendAgain("/read/x"), AttemptEnd::kAnswered);
-  cr_assert_eq(fixture.Last<CrashesForgotten>()->m_facts.size(), 2);
+  cr_assert_eq(fixture.Last<CrashesDropped>()->m_records.size(), 2);
   fixture.AddCrashes({"old-3", "old-4"});
   cr_assert_eq(fixture.Count<RequestHeld>(), 0);
 }
--- a/tests/faults_test.cc
+++ b/tests/faults_test.cc
@@ -138,7 +138,7 @@
 
 // An outcome must not claim more than is certain: a write that may have reached
 // the store is unknown, not unavailable.
-Test(Faults, PlatformResponses_EachFetchEnd_MapsToPlatformEnd) {
+Test(Faults, PlatformResponses_EachFetchOutcome_MapsToPlatformOutcome) {
   struct Row {
     FetchOutcome m_end;
     int m_status;
@@ -166,7 +166,7 @@
     result.m_end = row.m_end;
     result.m_response.m_status = row.m_status;
     const auto end = platform::ClassifyStoreResponse(result);
-    cr_assert(ToPlatformEnd(end, row.m_is_write) == row.m_expected,
+    cr_assert(ToPlatformOutcome(end, row.m_is_write) == row.m_expected,
               "end %d status %d", static_cast<int>(row.m_end), row.m_status);
   }
 }
--- a/tests/feed_relay_test.cc
+++ b/tests/feed_relay_test.cc
@@ -24,8 +24,8 @@
 
   RelayFixture() { m_relay.Activate(Revision(10), m_now, m_now); }
 
-  void Ask(uint64_t after, Duration wait) {
-    m_relay.Ask(
+  void Query(uint64_t after, Duration wait) {
+    m_relay.Query(
         {Revision(after), wait},
         [this](const FeedReply& reply) { m_answers.push_back(reply); }, m_now);
   }
@@ -53,7 +53,7 @@
 TestSuite(FeedRelay, .init = SetUp, .fini = TearDown);
 
 Test(FeedRelay, Query_NothingNew_WaitsForTheNextEvent) {
-  g_fixture->Ask(10, seconds(1));
+  g_fixture->Query(10, seconds(1));
   cr_assert(g_fixture->m_answers.empty());
   g_fixture->AddEvent(11);
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
@@ -62,7 +62,7 @@
 }
 
 Test(FeedRelay, Query_NothingNew_IsAnsweredWhenItsTimeIsOver) {
-  g_fixture->Ask(10, seconds(1));
+  g_fixture->Query(10, seconds(1));
   g_fixture->m_now += seconds(1);
   g_fixture->m_relay.Tick(g_fixture->m_now);
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
@@ -73,7 +73,7 @@
 // A follower that has read later than its relay is ahead of it. It must neither
 // get old events as new ones nor be told that it missed any.
 Test(FeedRelay, FollowerAhead_Asks_GetsNothingOld) {
-  g_fixture->Ask(20, Duration::zero());
+  g_fixture->Query(20, Duration::zero());
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
   cr_expect_eq(static_cast<int>(g_fixture->m_answers[0].m_end),
                static_cast<int>(FeedOutcome::kDone));
@@ -83,7 +83,7 @@
 // A follower that is further behind than the relay's log must read the store: a
 // removal may be missing from the remaining events.
 Test(FeedRelay, FollowerFarBehind_Asks_IsSentToTheStore) {
-  g_fixture->Ask(9, seconds(1));
+  g_fixture->Query(9, seconds(1));
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
   cr_expect_eq(static_cast<int>(g_fixture->m_answers[0].m_end),
                static_cast<int>(FeedOutcome::kHistoryGone));
@@ -91,7 +91,7 @@
 
 // More events arrive than a relay retains. Queries for discarded events are
 // sent to the store, and the latest events are still available.
-Test(FeedRelay, Events_MoreThanIsKept_OldOnesAreForgotten) {
+Test(FeedRelay, Events_MoreThanIsKept_OldOnesAreDropped) {
   FeedLog log;
   log.Restart(Revision(0));
   for (uint64_t revision = 1; revision <= 100; ++revision) {
@@ -107,23 +107,23 @@
 // The store becomes unreachable while a query is held. If the query stayed
 // held, the follower would take the relay for one without changes.
 Test(FeedRelay, StoreLost_QueryHeld_IsAnsweredAtOnce) {
-  g_fixture->Ask(10, seconds(1));
+  g_fixture->Query(10, seconds(1));
   g_fixture->m_relay.SetLost(g_fixture->m_now);
   cr_assert_eq(g_fixture->m_answers.size(), 1U);
   cr_expect(g_fixture->m_answers[0].m_is_store_lost);
   g_fixture->m_now += seconds(2);
   g_fixture->AddEvent(11);
   g_fixture->m_now += milliseconds(300);
-  g_fixture->Ask(10, Duration::zero());
+  g_fixture->Query(10, Duration::zero());
   cr_expect_not(g_fixture->m_answers[1].m_is_store_lost);
   cr_expect_eq(*g_fixture->m_answers[1].m_time_since_outage,
                Duration(milliseconds(300)));
 }
 
 Test(FeedRelay, RelayFollowsAnother_Query_IsRefused) {
-  g_fixture->Ask(10, seconds(1));
+  g_fixture->Query(10, seconds(1));
   g_fixture->m_relay.Deactivate(g_fixture->m_now);
-  g_fixture->Ask(10, seconds(1));
+  g_fixture->Query(10, seconds(1));
   cr_assert_eq(g_fixture->m_answers.size(), 2U);
   for (const FeedReply& reply : g_fixture->m_answers) {
     cr_expect_eq(static_cast<int>(reply.m_end),
@@ -192,7 +192,7 @@
   for (const size_t followers : {10U, 20U, 40U}) {
     RelayFixture relay;
     for (size_t follower = 0; follower < followers; ++follower) {
-      relay.Ask(10, seconds(1));
+      relay.Query(10, seconds(1));
     }
     StoreReadResult read;
     read.m_end = StoreOutcome::kDone;
--- a/tests/key_filter_test.cc
+++ b/tests/key_filter_test.cc
@@ -126,7 +126,7 @@
       Is<KeyProceed>(g_fixture->Arrive(2, TriedList{{"a", Incarnation(7)}})));
 }
 
-Test(KeyFilter, KeyOlderThanWindow_Expired_Forgotten) {
+Test(KeyFilter, KeyOlderThanWindow_Expired_IsRemoved) {
   g_fixture->Arrive(1, TriedNone{});
   g_fixture->m_memory.End(kKey, KeyState::kRan);
   g_fixture->m_memory.Expire(kNow + seconds(121));
--- a/tests/quota_gate_test.cc
+++ b/tests/quota_gate_test.cc
@@ -323,7 +323,7 @@
   fixture.m_steering.ClientLeft(id, fixture.m_now);
   cr_assert_eq(fixture.m_steering.AwaitingTokens(), 0);
   const QuotaRequest quota_request =
-      fixture.Last<AskForTokens>()->m_question.m_quota_request;
+      fixture.Last<SendQuotaRequest>()->m_request.m_quota_request;
   fixture.m_steering.ApplyQuotaGrant({.m_subject = quota_request.m_subject,
                                       .m_number = quota_request.m_number,
                                       .m_tokens = 1,
@@ -338,12 +338,12 @@
   LimitFixture fixture;
   const QuotaRequest quota_request{.m_subject = HashOrganisation("acme"),
                                    .m_tokens = 1};
-  cr_assert(fixture.m_steering.AnswerQuotaAsk(quota_request, fixture.m_now)
-                .m_is_keeper);
+  cr_assert(
+      fixture.m_steering.GrantQuota(quota_request, fixture.m_now).m_is_keeper);
   fixture.m_steering.SetFleet({{"vm-9", "10.0.0.9:80", "d1", "r1"}},
                               fixture.m_now);
-  cr_assert_not(fixture.m_steering.AnswerQuotaAsk(quota_request, fixture.m_now)
-                    .m_is_keeper);
+  cr_assert_not(
+      fixture.m_steering.GrantQuota(quota_request, fixture.m_now).m_is_keeper);
 }
 
 }  // namespace
--- a/tests/quota_world_test.cc
+++ b/tests/quota_simulation_test.cc
@@ -1,4 +1,4 @@
-/// @file quota_world_test.cc Quotas of organisations over many entry VMs.
+/// @file quota_simulation_test.cc Quotas of organisations over many entry VMs.
 
 #include <criterion/criterion.h>
 
@@ -40,14 +40,14 @@
 // No organisation exceeds its limit, and every request must pass.
 Test(QuotaSimulation, NormalLoad_SmallAndLargeLimits_AllPass) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    QuotaSimulation world(Options(seed, 76));
+    QuotaSimulation simulation(Options(seed, 76));
     for (const double rate : {2.0, 20.0, 450.0}) {
-      world.AddOrganisation(MakeOrganisation(std::to_string(rate), rate),
-                            rate * kNormalRate / kRate);
+      simulation.AddOrganisation(MakeOrganisation(std::to_string(rate), rate),
+                                 rate * kNormalRate / kRate);
     }
-    world.Run(seconds(30));
+    simulation.Run(seconds(30));
     for (const double rate : {2.0, 20.0, 450.0}) {
-      const QuotaResult result = world.ResultOf(std::to_string(rate));
+      const QuotaResult result = simulation.ResultOf(std::to_string(rate));
       cr_assert_leq(result.Shortfall(), kMaxRefusedWhenCalm,
                     "seed %lu rate %g: %g refused", seed, rate,
                     result.Shortfall());
@@ -61,18 +61,18 @@
 // more, and the other one gets all of its requests through.
 Test(QuotaSimulation, OneOverloads_AllVms_LimitHolds) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    QuotaSimulation world(Options(seed, 76));
-    world.AddOrganisation(MakeOrganisation("hot", kRate), kNormalRate);
-    world.AddOrganisation(MakeOrganisation("calm", kRate), kNormalRate);
-    world.SetDemand("hot", seconds(5), kNormalRate * kOverloadFactor);
-    world.SetDemand("hot", seconds(15), kNormalRate);
-    world.Run(seconds(25));
-    cr_assert_leq(world.ResultOf("hot").m_max_window_ratio, 1, "seed %lu",
+    QuotaSimulation simulation(Options(seed, 76));
+    simulation.AddOrganisation(MakeOrganisation("hot", kRate), kNormalRate);
+    simulation.AddOrganisation(MakeOrganisation("calm", kRate), kNormalRate);
+    simulation.SetDemand("hot", seconds(5), kNormalRate * kOverloadFactor);
+    simulation.SetDemand("hot", seconds(15), kNormalRate);
+    simulation.Run(seconds(25));
+    cr_assert_leq(simulation.ResultOf("hot").m_max_window_ratio, 1, "seed %lu",
                   seed);
-    cr_assert_leq(world.ResultOf("hot").Shortfall(), kMaxRefusedUnderOverload,
-                  "seed %lu: %g refused", seed,
-                  world.ResultOf("hot").Shortfall());
-    cr_assert_leq(world.ResultOf("calm").Shortfall(), kMaxRefusedWhenCalm,
+    cr_assert_leq(simulation.ResultOf("hot").Shortfall(),
+                  kMaxRefusedUnderOverload, "seed %lu: %g refused", seed,
+                  simulation.ResultOf("hot").Shortfall());
+    cr_assert_leq(simulation.ResultOf("calm").Shortfall(), kMaxRefusedWhenCalm,
                   "seed %lu", seed);
   }
 }
@@ -82,11 +82,11 @@
 Test(QuotaSimulation, ClientsAtFewVms_NormalLoad_AllPass) {
   QuotaSimulationOptions options = Options(3, 76);
   options.m_client_vms = 2;
-  QuotaSimulation world(options);
-  world.AddOrganisation(MakeOrganisation("few", kRate), kNormalRate);
-  world.Run(seconds(30));
-  cr_assert_leq(world.ResultOf("few").Shortfall(), kMaxRefusedWhenCalm);
-  cr_assert_leq(world.ResultOf("few").m_max_window_ratio, 1);
+  QuotaSimulation simulation(options);
+  simulation.AddOrganisation(MakeOrganisation("few", kRate), kNormalRate);
+  simulation.Run(seconds(30));
+  cr_assert_leq(simulation.ResultOf("few").Shortfall(), kMaxRefusedWhenCalm);
+  cr_assert_leq(simulation.ResultOf("few").m_max_window_ratio, 1);
 }
 
 /// Four random faults while one organisation overloads.
@@ -94,31 +94,32 @@
   std::mt19937_64 random(seed);
   QuotaSimulationOptions options = Options(seed, 12);
   options.m_loss = 0.02;
-  QuotaSimulation world(options);
+  QuotaSimulation simulation(options);
   const double rate = seed % 2 == 0 ? 4 : 200;
-  world.AddOrganisation(MakeOrganisation("hot", rate),
-                        rate * kOverloadFactor * kNormalRate / kRate);
+  simulation.AddOrganisation(MakeOrganisation("hot", rate),
+                             rate * kOverloadFactor * kNormalRate / kRate);
   for (int fault = 0; fault < 4; ++fault) {
     const Duration at = milliseconds(3000 + random() % 9000);
     const Duration lasts = milliseconds(300 + random() % 6000);
     const auto vm = static_cast<size_t>(random() % 12);
     switch (random() % 4) {
       case 0:
-        world.Kill(vm, at, lasts);
+        simulation.Kill(vm, at, lasts);
         break;
       case 1:
-        world.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
+        simulation.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at,
+                             at + lasts);
         break;
       case 2:
-        world.KillAll(at, lasts);
+        simulation.KillAll(at, lasts);
         break;
       default:
-        world.SetLimit("hot", at, rate / 4, rate / 4);
+        simulation.SetLimit("hot", at, rate / 4, rate / 4);
         break;
     }
   }
-  world.Run(seconds(20));
-  return world.ResultOf("hot").m_max_window_ratio;
+  simulation.Run(seconds(20));
+  return simulation.ResultOf("hot").m_max_window_ratio;
 }
 
 // While one organisation overloads, keepers are killed and lose their state;
@@ -139,12 +140,13 @@
 // All VMs restart under normal load. Their new buckets start with few tokens;
 // soon afterwards all requests must pass again.
 Test(QuotaSimulation, AllRestart_NormalLoad_PassesSoon) {
-  QuotaSimulation world(Options(7, 76));
-  world.AddOrganisation(MakeOrganisation("usual", kRate), kNormalRate);
-  world.KillAll(seconds(10), milliseconds(1400));
-  world.Run(seconds(30));
-  cr_assert_leq(world.ResultOf("usual").Shortfall(), kMaxRefusedUnderOverload,
-                "%g refused", world.ResultOf("usual").Shortfall());
+  QuotaSimulation simulation(Options(7, 76));
+  simulation.AddOrganisation(MakeOrganisation("usual", kRate), kNormalRate);
+  simulation.KillAll(seconds(10), milliseconds(1400));
+  simulation.Run(seconds(30));
+  cr_assert_leq(simulation.ResultOf("usual").Shortfall(),
+                kMaxRefusedUnderOverload, "%g refused",
+                simulation.ResultOf("usual").Shortfall());
 }
 
 }  // namespace
--- a/tests/server_limit_test.cc
+++ b/tests/server_limit_test.cc
@@ -21,12 +21,12 @@
 Test(ServerLimit, NamedInResponses_AllVmsSend_SumStaysWithinTheBound) {
   std::string broken;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    LimitSimulation world({.m_seed = seed});
-    world.SetLimit(0, seconds(8), 3.3);
-    world.SetLimit(4, seconds(8), 1.7);
-    world.Run(seconds(40));
+    LimitSimulation simulation({.m_seed = seed});
+    simulation.SetLimit(0, seconds(8), 3.3);
+    simulation.SetLimit(4, seconds(8), 1.7);
+    simulation.Run(seconds(40));
     for (const size_t server : {0, 4}) {
-      const double worst = world.ResultOf(server).m_max_window_ratio;
+      const double worst = simulation.ResultOf(server).m_max_window_ratio;
       if (worst > 1) {
         broken += std::to_string(seed) + ": " + std::to_string(worst) + "  ";
       }
@@ -39,36 +39,36 @@
 // Guards against a limit of which the VMs leave most unused.
 Test(ServerLimit, NamedInResponses_LoadAboveTheLimit_MostOfItIsUsed) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    LimitSimulation world({.m_seed = seed});
-    world.SetLimit(0, seconds(8), 3.3);
-    world.SetLimit(4, seconds(8), 1.7);
-    world.Run(seconds(40));
-    cr_assert_geq(world.ResultOf(0).m_used_share, 0.8, "seed %lu", seed);
-    cr_assert_geq(world.ResultOf(4).m_used_share, 0.8, "seed %lu", seed);
+    LimitSimulation simulation({.m_seed = seed});
+    simulation.SetLimit(0, seconds(8), 3.3);
+    simulation.SetLimit(4, seconds(8), 1.7);
+    simulation.Run(seconds(40));
+    cr_assert_geq(simulation.ResultOf(0).m_used_share, 0.8, "seed %lu", seed);
+    cr_assert_geq(simulation.ResultOf(4).m_used_share, 0.8, "seed %lu", seed);
   }
 }
 
 // Guards against requests that wait or fail while other servers have free
 // slots.
 Test(ServerLimit, NamedInResponses_OtherServersFree_AllAreAnswered) {
-  LimitSimulation world({.m_seed = 1});
-  world.SetLimit(0, seconds(8), 3.3);
-  world.SetLimit(4, seconds(8), 0);
-  world.Run(seconds(40));
-  cr_assert_eq(world.Counts().m_refused, 0);
-  cr_assert_eq(world.Counts().m_failed, 0);
+  LimitSimulation simulation({.m_seed = 1});
+  simulation.SetLimit(0, seconds(8), 3.3);
+  simulation.SetLimit(4, seconds(8), 0);
+  simulation.Run(seconds(40));
+  cr_assert_eq(simulation.Counts().m_refused, 0);
+  cr_assert_eq(simulation.Counts().m_failed, 0);
 }
 
 // Guards against a server that never gets requests again: only its responses
 // show that a limit has ended.
 Test(ServerLimit, LimitOfZeroEnds_Server_GetsItsShareAgain) {
-  LimitSimulation world({.m_seed = 1});
-  world.SetLimit(0, seconds(8), 0);
-  world.SetLimit(0, seconds(20), -1);
-  world.SetLimit(0, seconds(40), 100);
-  world.Run(seconds(60));
-  cr_assert_leq(world.ResultOf(0).m_max_window_ratio, 1);
-  cr_assert_geq(world.ResultOf(0).m_used_share, 0.05);
+  LimitSimulation simulation({.m_seed = 1});
+  simulation.SetLimit(0, seconds(8), 0);
+  simulation.SetLimit(0, seconds(20), -1);
+  simulation.SetLimit(0, seconds(40), 100);
+  simulation.Run(seconds(60));
+  cr_assert_leq(simulation.ResultOf(0).m_max_window_ratio, 1);
+  cr_assert_geq(simulation.ResultOf(0).m_used_share, 0.05);
 }
 
 // Guards against a Retry-After that is too early for the servers at their limit
@@ -118,7 +118,7 @@
   /// Grants the last quota request as the keeper.
   void Grant() {
     const QuotaRequest quota_request =
-        Last<AskForTokens>()->m_question.m_quota_request;
+        Last<SendQuotaRequest>()->m_request.m_quota_request;
     m_steering.ApplyQuotaGrant({.m_subject = quota_request.m_subject,
                                 .m_number = quota_request.m_number,
                                 .m_tokens = quota_request.m_tokens,
@@ -144,7 +144,7 @@
   fixture.PutServer("d", "d3");
   fixture.Pass(seconds(12));
   cr_assert_gt(fixture.SentTo("d"), 0);
-  cr_assert_eq(fixture.Count<AskForTokens>(), 1);
+  cr_assert_eq(fixture.Count<SendQuotaRequest>(), 1);
   fixture.Grant();
   fixture.EndWithNotice(*fixture.Last<SendToServer>(), AttemptEnd::kAnswered,
                         {});
@@ -154,9 +154,9 @@
 /// Five random faults while two servers name limits.
 double WorstWindowUnderFaults(uint64_t seed) {
   std::mt19937_64 random(seed);
-  LimitSimulation world({.m_seed = seed, .m_loss = 0.02});
-  world.SetLimit(0, seconds(3), 3.3);
-  world.SetLimit(4, seconds(3), 1.7);
+  LimitSimulation simulation({.m_seed = seed, .m_loss = 0.02});
+  simulation.SetLimit(0, seconds(3), 3.3);
+  simulation.SetLimit(4, seconds(3), 1.7);
   for (int fault = 0; fault < 5; ++fault) {
     const Duration at = milliseconds(5000 + random() % 12000);
     const Duration lasts = milliseconds(300 + random() % 6000);
@@ -164,30 +164,32 @@
     const size_t server = random() % 2 == 0 ? 0 : 4;
     switch (random() % 6) {
       case 0:
-        world.Kill(vm, at, lasts);
+        simulation.Kill(vm, at, lasts);
         break;
       case 1:
-        world.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at, at + lasts);
+        simulation.Partition({vm, (vm + 3) % 12, (vm + 7) % 12}, at,
+                             at + lasts);
         break;
       case 2:
-        world.RestartServer(server, at);
-        world.SetLimit(server, at + milliseconds(500), 2.5);
+        simulation.RestartServer(server, at);
+        simulation.SetLimit(server, at + milliseconds(500), 2.5);
         break;
       case 3:
-        world.LapseEntry(server, at);
+        simulation.LapseEntry(server, at);
         break;
       case 4:
-        world.SetLimit(server, at, 0.5 + static_cast<double>(random() % 4));
+        simulation.SetLimit(server, at,
+                            0.5 + static_cast<double>(random() % 4));
         break;
       default:
-        world.SetLimit(server, at, -1);
-        world.SetLimit(server, at + lasts, 2);
+        simulation.SetLimit(server, at, -1);
+        simulation.SetLimit(server, at + lasts, 2);
         break;
     }
   }
-  world.Run(seconds(30));
-  return std::max(world.ResultOf(0).m_max_window_ratio,
-                  world.ResultOf(4).m_max_window_ratio);
+  simulation.Run(seconds(30));
+  return std::max(simulation.ResultOf(0).m_max_window_ratio,
+                  simulation.ResultOf(4).m_max_window_ratio);
 }
 
 // Guards against a sum over the bound while keepers are killed, VMs are cut
--- a/tests/server_notice_test.cc
+++ b/tests/server_notice_test.cc
@@ -28,7 +28,7 @@
     m_answer.m_headers.emplace_back("limit", text);
   }
   void TakeLimit(std::optional<double> limit) {
-    m_notices.Take({.m_max_per_second = limit}, true, m_now);
+    m_notices.Apply({.m_max_per_second = limit}, true, m_now);
   }
 };
 
@@ -82,9 +82,9 @@
 // Guards against a delayed older response that revokes the notice.
 Test(ServerNotice, Leaving_ResponseWithout_StaysLeaving) {
   NoticeFixture fixture;
-  fixture.m_notices.Take({.m_is_leaving = true}, true, fixture.m_now);
+  fixture.m_notices.Apply({.m_is_leaving = true}, true, fixture.m_now);
   fixture.m_now += seconds(60);
-  fixture.m_notices.Take({}, true, fixture.m_now);
+  fixture.m_notices.Apply({}, true, fixture.m_now);
   cr_assert(fixture.m_notices.IsLeaving());
 }
 
@@ -122,8 +122,8 @@
 // one.
 Test(ServerNotice, TwoPauses_Applied_TheLaterEndCounts) {
   NoticeFixture fixture;
-  fixture.m_notices.Take({.m_pause = seconds(3)}, true, fixture.m_now);
-  fixture.m_notices.Take({.m_pause = seconds(1)}, true, fixture.m_now);
+  fixture.m_notices.Apply({.m_pause = seconds(3)}, true, fixture.m_now);
+  fixture.m_notices.Apply({.m_pause = seconds(1)}, true, fixture.m_now);
   cr_assert(fixture.m_notices.IsPaused(fixture.m_now + milliseconds(2999)));
   cr_assert(!fixture.m_notices.IsPaused(fixture.m_now + seconds(3)));
 }
@@ -160,7 +160,7 @@
   NoticeFixture fixture;
   fixture.TakeLimit(3);
   fixture.m_now += seconds(2);
-  fixture.m_notices.Take({.m_is_malformed = true}, true, fixture.m_now);
+  fixture.m_notices.Apply({.m_is_malformed = true}, true, fixture.m_now);
   cr_assert_eq(fixture.m_notices.MaxPerSecond(), 3);
   cr_assert(fixture.m_notices.WasMalformed());
 }
--- a/tests/steering_restart_test.cc
+++ b/tests/steering_restart_test.cc
@@ -131,7 +131,7 @@
 // A load report shared by another VM says that the server is full of other VMs'
 // requests, but it is older than the new run's start, so it belongs to the old
 // run.
-Test(SteeringRestart, ReportOfOlderRun_ToldLate_IsIgnored) {
+Test(SteeringRestart, LoadReportOfOlderRun_ArrivesLate_IsIgnored) {
   const uint64_t object = g_fixture->ObjectOfA();
   g_fixture->Pass(seconds(1));
   g_fixture->PutRun(kSecondStart);
--- a/tests/steering_test.cc
+++ b/tests/steering_test.cc
@@ -196,7 +196,7 @@
 // Every server rejects its requests, and the process restarts in between and
 // forgets what it spent. The servers count the retries of both runs in one
 // window; they must stay within the ratio and the extra.
-Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheWhole) {
+Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheBudget) {
   const size_t requests = 100;
   size_t retries = 0;
   for (int run = 0; run < 2; ++run) {
@@ -233,7 +233,7 @@
 // cold, which the VM cannot know, so it keeps sending to them. Together with
 // the VM that sends to cold servers, and with others that have stale data, it
 // must stay below the limit of 11 within any second.
-Test(Steering, CutOff_ManyRequests_EachServerGetsAPartOfTheColdBound) {
+Test(Steering, StaleData_ManyRequests_EachServerGetsAShareOfTheColdLimit) {
   g_fixture->m_steering.RemoveServer("b", g_fixture->m_now);
   g_fixture->m_steering.SetFleet({{"vm-1", "10.0.0.1:80", "d1", "r1"},
                                   {"vm-2", "10.0.0.2:80", "d1", "r1"},
--- a/tests/store_fleet.cc
+++ b/tests/store_fleet.cc
@@ -245,7 +245,7 @@
             });
 }
 
-void StoreFleet::Execute(Vm& vm, const AskRelay& query) {
+void StoreFleet::Execute(Vm& vm, const QueryRelay& query) {
   const auto is_answered = std::make_shared<bool>(false);
   const auto take = [this, &vm, is_answered](const FeedReply& reply) {
     if (*is_answered) {
@@ -262,7 +262,7 @@
            [take] { take(FeedReply()); });
   Vm& other = **relay;
   RunAfter(other, kVmLatency, [this, &vm, &other, query, take] {
-    other.m_follower->Relay().Ask(
+    other.m_follower->Relay().Query(
         query.m_query,
         [this, &vm, &other, take](const FeedReply& reply) {
           if (!other.m_faults.m_drops_answers) {
@@ -294,7 +294,7 @@
   }
 }
 
-void StoreFleet::ForgetHistory() {
+void StoreFleet::DiscardHistory() {
   m_history.clear();
   m_discarded_revision = m_revision;
 }
--- a/tests/store_fleet.h
+++ b/tests/store_fleet.h
@@ -41,7 +41,7 @@
   // The store, as seen by other writers.
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
-  void ForgetHistory();
+  void DiscardHistory();
   /// Whether the store refuses or ignores the calls of all VMs.
   void SetStoreRefuses(bool refuses) { m_is_store_refusing = refuses; }
   void SetStoreSilent(bool is_silent) { m_is_store_silent = is_silent; }
@@ -95,7 +95,7 @@
   void Execute(Vm& vm, const FollowAction& action);
   void Execute(Vm& vm, const ReadPage& page);
   void Execute(Vm& vm, const WatchStore& watch);
-  void Execute(Vm& vm, const AskRelay& query);
+  void Execute(Vm& vm, const QueryRelay& query);
   void Execute(Vm& vm, const PauseFollowing& pause);
   /// Runs a step of a VM after the delay. While the VM is paused, the step is
   /// delayed; if it is down or was restarted, the step is dropped.
--- a/tests/store_fleet_test.cc
+++ b/tests/store_fleet_test.cc
@@ -211,7 +211,7 @@
   for (int round = 0; round < 3; ++round) {
     g_fixture->m_fleet.Put("op/config", "lost in between");
     g_fixture->m_fleet.Remove("servers/i-" + std::to_string(round));
-    g_fixture->m_fleet.ForgetHistory();
+    g_fixture->m_fleet.DiscardHistory();
     g_fixture->ExpectChangeWithin(kBound);
     for (size_t vm = 0; vm < g_fixture->m_fleet.Size(); ++vm) {
       cr_expect(g_fixture->m_fleet.HasValue(
--- a/tests/store_watch_test.cc
+++ b/tests/store_watch_test.cc
@@ -145,7 +145,7 @@
 
 // The store discards its history while a change is made: the watch reports that
 // it cannot continue, and everything is read again.
-Test(StoreWatch, HistoryForgotten_ChangeMissed_IsReadAgain) {
+Test(StoreWatch, HistoryDiscarded_ChangeMissed_IsReadAgain) {
   g_fixture->Put("op/config", "old");
   g_fixture->m_watch->Start();
   g_fixture->RunUntil([] { return g_fixture->Sees("op/config", "old"); });
--- a/trial/limit_simulation.cc
+++ b/trial/limit_simulation.cc
@@ -331,10 +331,11 @@
     m_counts.m_refused += is_not_run ? 1 : 0;
     m_counts.m_failed += is_not_run ? 0 : 1;
     m_vms[vm]->m_open.erase(refusal->m_request);
-  } else if (const auto* quota_request = std::get_if<AskForTokens>(&action)) {
+  } else if (const auto* quota_request =
+                 std::get_if<SendQuotaRequest>(&action)) {
     for (size_t other = 0; other < m_vms.size(); ++other) {
-      if (NameOfVm(other) == quota_request->m_question.m_keeper) {
-        SendDatagram(vm, other, quota_request->m_question.m_quota_request);
+      if (NameOfVm(other) == quota_request->m_request.m_keeper) {
+        SendDatagram(vm, other, quota_request->m_request.m_quota_request);
       }
     }
   }
@@ -479,8 +480,7 @@
                               const QuotaMessage& message) {
   Steering& steering = *m_vms[to]->m_steering;
   if (const auto* quota_request = std::get_if<QuotaRequest>(&message)) {
-    SendDatagram(to, from,
-                 steering.AnswerQuotaAsk(*quota_request, m_queue.Now()));
+    SendDatagram(to, from, steering.GrantQuota(*quota_request, m_queue.Now()));
   } else {
     steering.ApplyQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
   }
--- a/trial/quota_simulation.cc
+++ b/trial/quota_simulation.cc
@@ -342,10 +342,11 @@
         m_vms[vm]->m_open.erase(send.m_request);
       }
     });
-  } else if (const auto* quota_request = std::get_if<AskForTokens>(&action)) {
+  } else if (const auto* quota_request =
+                 std::get_if<SendQuotaRequest>(&action)) {
     for (size_t other = 0; other < m_vms.size(); ++other) {
-      if (NameOfVm(other) == quota_request->m_question.m_keeper) {
-        SendDatagram(vm, other, quota_request->m_question.m_quota_request);
+      if (NameOfVm(other) == quota_request->m_request.m_keeper) {
+        SendDatagram(vm, other, quota_request->m_request.m_quota_request);
       }
     }
   }
@@ -382,8 +383,7 @@
                               const QuotaMessage& message) {
   Steering& steering = *m_vms[to]->m_steering;
   if (const auto* quota_request = std::get_if<QuotaRequest>(&message)) {
-    SendDatagram(to, from,
-                 steering.AnswerQuotaAsk(*quota_request, m_queue.Now()));
+    SendDatagram(to, from, steering.GrantQuota(*quota_request, m_queue.Now()));
   } else {
     steering.ApplyQuotaGrant(std::get<QuotaGrant>(message), m_queue.Now());
   }
