--- a/src/core/action_type.h
+++ b/src/core/action_type.h
@@ -56,7 +56,7 @@
   RequestId m_original;
 };
 
-/// Sends the caller the answer that another entry VM kept for the key.
+/// Sends the caller the answer that another entry VM has stored for the key.
 struct ReplayPeerAnswer {
   RequestId m_request;
   VmName m_vm;
@@ -91,8 +91,8 @@
   bool m_wants_all = false;
 };
 
-/// Tells an entry VM of the own region that a slot is free here now, or that a
-/// request waits here for one.
+/// Notifies an entry VM of the same region that a slot is free here now, or
+/// that a request waits here for one.
 struct SendSlotNotice {
   VmName m_vm;
   VmAddress m_address;
--- a/src/core/event_type.h
+++ b/src/core/event_type.h
@@ -48,7 +48,7 @@
   std::vector<VmRecord> m_records;
 };
 
-/// Another VM of the own region reports its free slots, or requests a slot.
+/// Another VM of the same region reports its free slots, or requests a slot.
 struct SlotNoticeArrived {
   VmName m_vm;
   ServiceSlots m_slots;
@@ -60,7 +60,7 @@
   std::shared_ptr<const Snapshot> m_snapshot;
 };
 
-/// Addresses of entry VMs for first contact, from the settings or the platform.
+/// Addresses of entry VMs for bootstrapping, from the settings or the platform.
 struct SeedsLearned {
   std::vector<VmAddress> m_seeds;
 };
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,4 +1,4 @@
-/// @file membership.h Table of entry VMs as one of them knows it.
+/// @file membership.h Table of the entry VMs known to one of them.
 
 #ifndef SORRELPLANK_CORE_MEMBERSHIP_H_
 #define SORRELPLANK_CORE_MEMBERSHIP_H_
@@ -60,9 +60,9 @@
 
   /// The member of this name, alive or not; nullptr if unknown.
   Member* Find(const VmName& name);
-  bool Knows(const VmName& name) const { return m_members.contains(name); }
+  bool Contains(const VmName& name) const { return m_members.contains(name); }
 
-  /// Other live VMs of the own place.
+  /// Other live VMs of the same place.
   std::vector<const Member*> LiveSiblings(TimePoint now) const;
 
   /// All live VMs of a place except this one.
--- a/src/steer/server_limits.cc
+++ b/src/steer/server_limits.cc
@@ -21,7 +21,8 @@
 /// requests in 4 s.
 constexpr double kMinRequestsPerSecond = 0.25;
 /// Divides the share of a keeper that may have been replaced: cut off together
-/// with VMs that still ask it, it grants tokens in addition to its replacement.
+/// with VMs that still send it quota requests, it grants tokens in addition to
+/// its replacement.
 constexpr size_t kShareDivisorIfReplaced = 3;
 /// A VM of another region asks for a token again this long after the limit was
 /// last named: only a response shows that the limit has ended.
@@ -180,8 +181,8 @@
     const auto more = ForwardQuotaRequests(gate, now);
     outcomes.insert(outcomes.end(), more.begin(), more.end());
   }
-  m_keeper.ForgetUnused(now);
-  ForgetUnused(now);
+  m_keeper.DropUnused(now);
+  DropUnused(now);
   return outcomes;
 }
 
@@ -210,7 +211,7 @@
   return count;
 }
 
-void ServerLimits::ForgetUnused(TimePoint now) {
+void ServerLimits::DropUnused(TimePoint now) {
   if (now - m_last_sweep < kSweepInterval) {
     return;
   }
--- a/src/steer/server_limits.h
+++ b/src/steer/server_limits.h
@@ -37,8 +37,8 @@
   /// Whether another VM may have taken over the quotas that this VM keeps.
   void SetMayBeReplaced(bool may_be) { m_may_be_replaced = may_be; }
 
-  /// Whether a request may quota_request for a token for the server now; true
-  /// for servers without a limit.
+  /// Whether a request may try to get a token for the server now; true for
+  /// servers without a limit.
   bool MayTry(const ServerState& server, TimePoint now) const;
   /// Whether the server is reserved for the VMs of its own region as long as
   /// other servers are available. False once the limit was named long ago,
@@ -59,8 +59,9 @@
   void Return(const ServerState& server, TimePoint now);
 
   std::vector<AddressedQuotaRequest> TakeQuotaRequests();
-  /// Whether the quota is a server's limit that this VM knows.
-  bool Knows(QuotaSubject subject) const {
+  /// Whether the quota is a server's limit that this VM sent or received quota
+  /// requests for.
+  bool Contains(QuotaSubject subject) const {
     return m_known_limits.contains(subject);
   }
   std::vector<QuotaOutcome> TakeGrant(const QuotaGrant& grant, TimePoint now);
@@ -94,7 +95,7 @@
   /// answered at once.
   std::vector<QuotaOutcome> ForwardQuotaRequests(QuotaGate& gate,
                                                  TimePoint now);
-  void ForgetUnused(TimePoint now);
+  void DropUnused(TimePoint now);
 
   std::string m_vm;
   std::string m_region;
--- a/src/steer/steering_crashes.cc
+++ b/src/steer/steering_crashes.cc
@@ -29,8 +29,8 @@
   return m_crashes.CrashCount(request.m_facts.m_digest, now) > 0;
 }
 
-bool Steering::IsResendForbidden(const SteeredRequest& request,
-                                 TimePoint now) const {
+bool Steering::IsRetryForbidden(const SteeredRequest& request,
+                                TimePoint now) const {
   return m_crashes.CrashCount(request.m_facts.m_digest, now) >=
          kCrashesToDelayRetry;
 }
@@ -49,8 +49,9 @@
   }
   const size_t crashes =
       m_crashes.CrashCount(request.m_facts.m_digest, now) + 1;
-  // Retried before the check, the request could crash the next server. It does
-  // not wait if this was its first loss and no crash is known for it.
+  // If the request were retried before the check, it could crash the next
+  // server. It does not wait if this was its first loss and no crash is known
+  // for it.
   request.m_awaits_check =
       request.m_route->m_idempotent && request.m_live_attempts.empty() &&
       std::max<size_t>(crashes, request.m_lost_sends) >= kCrashesToDelayRetry;
@@ -68,9 +69,9 @@
 void Steering::CheckServer(const SteeredRequest& request,
                            const ServerState& server) {
   const ServerEntry& entry = server.Entry();
-  auto& unsettled = m_pending_crash_checks[entry.m_instance];
-  unsettled.push_back({request.m_facts.m_request, ReportOf(request, server)});
-  if (unsettled.size() == 1) {
+  auto& pending = m_pending_crash_checks[entry.m_instance];
+  pending.push_back({request.m_facts.m_request, ReportOf(request, server)});
+  if (pending.size() == 1) {
     m_sink(CheckServerReachable{entry.m_instance, entry.m_address});
   }
 }
@@ -82,13 +83,13 @@
   if (it == m_pending_crash_checks.end()) {
     return;
   }
-  const std::vector<PendingCrashCheck> ends = std::move(it->second);
+  const std::vector<PendingCrashCheck> checks = std::move(it->second);
   m_pending_crash_checks.erase(it);
-  for (const PendingCrashCheck& end : ends) {
+  for (const PendingCrashCheck& check : checks) {
     if (reach == ServerReach::kRefusesConnections) {
-      NoteOwnCrash(end.m_report, now);
+      NoteOwnCrash(check.m_report, now);
     }
-    const auto request = m_requests.find(end.m_request);
+    const auto request = m_requests.find(check.m_request);
     if (request != m_requests.end() && request->second.m_awaits_check) {
       request->second.m_awaits_check = false;
       RetryOrFail(request->second, AttemptId(), AttemptEnd::kLost, now);
@@ -147,10 +148,10 @@
   if (m_crashes.CrashCount(digest, now) == 0) {
     return;
   }
-  m_sink(CrashesForgotten{m_crashes.Clear(digest), "answered"});
+  m_sink(CrashesDropped{m_crashes.Clear(digest), "answered"});
 }
 
-void Steering::ForgetOldCrashes(TimePoint now) {
+void Steering::DropExpiredCrashes(TimePoint now) {
   if (now - m_crashes_swept < kCrashSweepInterval) {
     return;
   }
@@ -158,7 +159,7 @@
   std::vector<CrashRecord> expired =
       m_crashes.TakeExpired(m_removal_spread, now);
   if (!expired.empty()) {
-    m_sink(CrashesForgotten{std::move(expired), "expired"});
+    m_sink(CrashesDropped{std::move(expired), "expired"});
   }
 }
 
--- a/src/steer/steering_ends.cc
+++ b/src/steer/steering_ends.cc
@@ -1,4 +1,4 @@
-/// @file steering_ends.cc CrashCount of requests and of their attempts.
+/// @file steering_ends.cc How requests and their attempts end.
 
 #include <algorithm>
 #include <optional>
@@ -26,7 +26,7 @@
   refusal.m_waited = now - request.m_arrived;
   refusal.m_table_version = m_table ? m_table->m_version : 0;
   refusal.m_sends = static_cast<uint32_t>(request.m_tried.size());
-  refusal.m_ends = m_crashes.CrashCount(request.m_facts.m_digest, now);
+  refusal.m_crashes = m_crashes.CrashCount(request.m_facts.m_digest, now);
   refusal.m_organisation = NameOf(request.m_organisation);
   if (!request.m_service.empty()) {
     SteeredService& service = Service(request.m_service);
@@ -62,7 +62,7 @@
   }
   refusal.m_reason = reason;
   m_sink(refusal);
-  Forget(refusal.m_request);
+  RemoveRequest(refusal.m_request);
 }
 
 Duration Steering::TimeUntilServerAvailable(const SteeredRequest& request,
@@ -112,8 +112,8 @@
       }
     }
   }
-  // The current run knows nothing of these requests, and their connections may
-  // stay silent. Without this, callers would wait until their deadlines for
+  // The requests of the previous run are lost, and their connections may stay
+  // silent. Without this, callers would wait until their deadlines for
   // responses that can no longer arrive.
   AttemptReport lost;
   lost.m_end = AttemptEnd::kLost;
@@ -200,7 +200,7 @@
   }
 }
 
-void Steering::Forget(RequestId id) {
+void Steering::RemoveRequest(RequestId id) {
   const auto it = m_requests.find(id);
   if (it->second.m_is_queued) {
     Service(it->second.m_service).Waiting().remove(id);
--- a/tests/crash_record_writer_test.cc
+++ b/tests/crash_record_writer_test.cc
@@ -93,7 +93,7 @@
 Test(CrashRecordWriter, Answered_BeforeTheCall_KeyIsRemoved) {
   WriterFixture fixture;
   fixture.RecordCrash("a");
-  fixture.m_writer->Record(CrashesForgotten{{{kDigest, "a"}}, "answered"});
+  fixture.m_writer->Record(CrashesDropped{{{kDigest, "a"}}, "answered"});
   fixture.RunUntilCalls(1);
   cr_assert(fixture.m_calls[0]["Put"].empty());
   cr_assert_eq(fixture.m_calls[0]["Remove"].size(), 1);
@@ -110,10 +110,10 @@
 }
 
 Test(CrashRecordWriter, KeyAndValue_EncodedAndDecoded_AreTheSame) {
-  const CrashRecord fact{kDigest, "i-1@1700000000000"};
-  cr_assert(DecodeCrashKey(CrashKey(fact)) == fact);
+  const CrashRecord record{kDigest, "i-1@1700000000000"};
+  cr_assert(DecodeCrashKey(CrashKey(record)) == record);
   const std::string value =
-      EncodeStoredCrash({{fact, "s", "h", std::string(500, 'x') + "\xff"},
+      EncodeStoredCrash({{record, "s", "h", std::string(500, 'x') + "\xff"},
                          "vm",
                          milliseconds(1700)});
   cr_assert_eq(DecodeCrashTime(value), milliseconds(1700));
--- a/tests/steering_restart_test.cc
+++ b/tests/steering_restart_test.cc
@@ -67,9 +67,9 @@
   cr_assert_eq(g_fixture->m_steering.ServerCount(), 2);
 }
 
-// A server crashes and restarts under its id. The new run knows nothing of the
-// old run's requests, and their connections may stay silent, so that callers
-// would wait until their deadlines. A read must go to another server at once.
+// A server crashes and restarts under its id. The old run's requests are lost,
+// and their connections may stay silent, so that callers would wait until their
+// deadlines. A read must go to another server at once.
 Test(SteeringRestart, ReadUnderWay_ServerStartsAgain_GoesElsewhereAtOnce) {
   const SendToServer lost = g_fixture->SendToA("/read/x");
   g_fixture->PutRun(kSecondStart);
@@ -131,7 +131,7 @@
 // A load report shared by another VM says that the server is full of other VMs'
 // requests, but it is older than the new run's start, so it belongs to the old
 // run.
-Test(SteeringRestart, ReportOfOlderRun_ToldLate_IsIgnored) {
+Test(SteeringRestart, LoadReportOfOlderRun_ArrivesLate_IsIgnored) {
   const uint64_t object = g_fixture->ObjectOfA();
   g_fixture->Pass(seconds(1));
   g_fixture->PutRun(kSecondStart);
--- a/tests/steering_test.cc
+++ b/tests/steering_test.cc
@@ -168,9 +168,9 @@
   }
 }
 
-// Both servers of the region fail at once, as when no object is cached yet.
+// Both servers of the region stall at once, as when no object is cached yet.
 // Nothing proves that they are down; refusing all requests, or moving the whole
-// region elsewhere, would be worse than sending on.
+// region elsewhere, would be worse than continuing to send to them.
 Test(Steering, AllServersEjected_RequestArrives_IsStillSent) {
   for (int round = 0; round < 4; ++round) {
     g_fixture->Arrive("/read/x");
@@ -196,10 +196,10 @@
 // Every server rejects its requests, and the process restarts in between and
 // forgets what it spent. The servers count the retries of both runs in one
 // window; they must stay within the ratio and the extra.
-Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheWhole) {
+Test(Steering, RetryBudget_RestartWithinTheWindow_StaysWithinTheBudget) {
   const size_t requests = 100;
-  size_t resends = 0;
-  for (int life = 0; life < 2; ++life) {
+  size_t retries = 0;
+  for (int run = 0; run < 2; ++run) {
     SteeringFixture fixture;
     for (size_t request = 0; request < requests / 2; ++request) {
       const size_t before = fixture.Count<SendToServer>();
@@ -208,12 +208,12 @@
         fixture.End(*fixture.Last<SendToServer>(), AttemptEnd::kRejected);
       }
       const size_t sends = fixture.Count<SendToServer>() - before;
-      resends += sends > 1 ? sends - 1 : 0;
+      retries += sends > 1 ? sends - 1 : 0;
       fixture.Pass(milliseconds(80));
     }
   }
-  cr_assert_gt(resends, 10);
-  cr_assert_leq(resends, requests / 5 + 10, "%zu", resends);
+  cr_assert_gt(retries, 10);
+  cr_assert_leq(retries, requests / 5 + 10, "%zu", retries);
 }
 
 // The process is about to exit. A new request on an open connection must be
@@ -233,7 +233,7 @@
 // cold, which the VM cannot know, so it keeps sending to them. Together with
 // the VM that sends to cold servers, and with others that have stale data, it
 // must stay below the limit of 11 within any second.
-Test(Steering, CutOff_ManyRequests_EachServerGetsAPartOfTheColdBound) {
+Test(Steering, StaleData_ManyRequests_EachServerGetsAShareOfTheColdLimit) {
   g_fixture->m_steering.RemoveServer("b", g_fixture->m_now);
   g_fixture->m_steering.SetFleet({{"vm-1", "10.0.0.1:80", "d1", "r1"},
                                   {"vm-2", "10.0.0.2:80", "d1", "r1"},
--- a/tests/store_fleet.cc
+++ b/tests/store_fleet.cc
@@ -101,20 +101,20 @@
 }
 
 void StoreFleet::ApplyChanges(Vm& vm, const StoreMirror::Changes& changes) {
-  size_t lost = 0;
+  size_t removed_count = 0;
   for (const StoreItem& item : changes) {
     const auto known = vm.m_copy.find(item.m_key);
     const bool is_older =
         known != vm.m_copy.end() && item.m_revision < known->second.m_revision;
     m_has_regressed |= is_older;
     if (item.m_removed) {
-      ++lost;
+      ++removed_count;
       vm.m_copy.erase(item.m_key);
     } else {
       vm.m_copy[item.m_key] = item;
     }
   }
-  m_max_removed_at_once = std::max(m_max_removed_at_once, lost);
+  m_max_removed_at_once = std::max(m_max_removed_at_once, removed_count);
   std::vector<FleetMember> fleet;
   for (const auto& [key, item] : vm.m_copy) {
     if (key.starts_with(kFleetPrefix)) {
@@ -245,7 +245,7 @@
             });
 }
 
-void StoreFleet::Execute(Vm& vm, const AskRelay& query) {
+void StoreFleet::Execute(Vm& vm, const QueryRelay& query) {
   const auto is_answered = std::make_shared<bool>(false);
   const auto take = [this, &vm, is_answered](const FeedReply& reply) {
     if (*is_answered) {
@@ -262,7 +262,7 @@
            [take] { take(FeedReply()); });
   Vm& other = **relay;
   RunAfter(other, kVmLatency, [this, &vm, &other, query, take] {
-    other.m_follower->Relay().Ask(
+    other.m_follower->Relay().Query(
         query.m_query,
         [this, &vm, &other, take](const FeedReply& reply) {
           if (!other.m_faults.m_drops_answers) {
@@ -294,7 +294,7 @@
   }
 }
 
-void StoreFleet::ForgetHistory() {
+void StoreFleet::DiscardHistory() {
   m_history.clear();
   m_discarded_revision = m_revision;
 }
@@ -322,12 +322,12 @@
                                       Duration limit) {
   const TimePoint began = m_queue.Now();
   while (m_queue.Now() - began < limit) {
-    const bool all_know =
+    const bool all_have =
         std::all_of(m_vms.begin(), m_vms.end(), [&](const auto& vm) {
           return vm->m_faults.m_is_down || vm->m_faults.m_is_paused ||
                  HasValue(vm->m_number, key, value);
         });
-    if (all_know) {
+    if (all_have) {
       return m_queue.Now() - began;
     }
     RunFor(kTickInterval);
--- a/tests/store_fleet_test.cc
+++ b/tests/store_fleet_test.cc
@@ -211,7 +211,7 @@
   for (int round = 0; round < 3; ++round) {
     g_fixture->m_fleet.Put("op/config", "lost in between");
     g_fixture->m_fleet.Remove("servers/i-" + std::to_string(round));
-    g_fixture->m_fleet.ForgetHistory();
+    g_fixture->m_fleet.DiscardHistory();
     g_fixture->ExpectChangeWithin(kBound);
     for (size_t vm = 0; vm < g_fixture->m_fleet.Size(); ++vm) {
       cr_expect(g_fixture->m_fleet.HasValue(
@@ -235,8 +235,9 @@
     fleet.Restart(vm);
     for (int step = 0; step < 10; ++step) {
       fleet.RunFor(milliseconds(30));
-      const bool claims_to_know = fleet.Follower(vm).LastSyncedAt() > changed;
-      cr_expect(fleet.HasValue(vm, "op/config", value) || !claims_to_know,
+      const bool claims_to_be_synced =
+          fleet.Follower(vm).LastSyncedAt() > changed;
+      cr_expect(fleet.HasValue(vm, "op/config", value) || !claims_to_be_synced,
                 "VM %zu counts as in sync after a stale read", vm);
     }
   }
